--- a/gypsumspoke/platform/registration.py
+++ b/gypsumspoke/platform/registration.py
@@ -8,8 +8,8 @@
 
 from returns.result import Failure, Result, Success
 
-from gypsumspoke.runs.orders import HeartbeatArrived, WorkerLeft
 from gypsumspoke.runs.values import Registration, Room, WorkerReady
+from gypsumspoke.runs.worker_commands import HeartbeatArrived, WorkerLeft
 from gypsumspoke.shell.http_answers import (
     Environ,
     HttpAnswer,
--- a/gypsumspoke/platform/settings.py
+++ b/gypsumspoke/platform/settings.py
@@ -56,7 +56,7 @@
     bounds = Bounds(
         resend=_bound(fields, "resend_ms", DEFAULT_BOUNDS.resend),
         stop=_bound(fields, "stop_ms", DEFAULT_BOUNDS.stop),
-        longest_lease=_bound(fields, "max_hold_ms", DEFAULT_BOUNDS.longest_lease),
+        max_lease=_bound(fields, "max_hold_ms", DEFAULT_BOUNDS.max_lease),
     )
     match budget_for(bounds):
         case Success(budget):
--- a/gypsumspoke/platform/worker.py
+++ b/gypsumspoke/platform/worker.py
@@ -12,21 +12,21 @@
 
 from gypsumspoke.core.clock import Clock
 from gypsumspoke.platform.names import run_of, task_name
-from gypsumspoke.runs.guard_holds import HOLD_ANSWER_WITHIN
-from gypsumspoke.runs.orders import (
+from gypsumspoke.runs.settings import Address
+from gypsumspoke.runs.supervisor_renewals import COMMAND_TIMEOUT
+from gypsumspoke.runs.values import RunEnd
+from gypsumspoke.runs.worker_commands import (
+    CommandAnswered,
+    CommandKind,
+    CommandResult,
     EndedRun,
-    HoldAnswered,
-    HoldFailed,
-    HoldOrder,
-    OrderAnswered,
-    OrderKind,
-    OrderResult,
+    RenewalAnswered,
+    RenewalFailed,
+    RenewCommand,
     RunningRun,
-    StartOrder,
-    StopOrder,
+    StartCommand,
+    StopCommand,
 )
-from gypsumspoke.runs.settings import Address
-from gypsumspoke.runs.values import RunEnd
 from gypsumspoke.shell.answer_time import AnswerTime
 from gypsumspoke.shell.http_exchange import ExchangeError, HttpAnswer
 from gypsumspoke.shell.keep_alive import KeepAliveClient, Request
@@ -40,10 +40,10 @@
 _BAD_REQUEST = 400
 _UNHEALTHY = (429, 503)
 _REASONS = {
-    "fence": OrderResult.FENCED,
-    "old": OrderResult.NUMBER_TOO_LOW,
-    "late": OrderResult.LATE,
-    "room": OrderResult.NO_ROOM,
+    "fence": CommandResult.FENCED,
+    "old": CommandResult.NUMBER_TOO_LOW,
+    "late": CommandResult.LATE,
+    "room": CommandResult.NO_ROOM,
 }
 # "lapsed": the lease ended. "broken" and "alone" speak of gangs, which are not placed
 # here. "saved" beside each end is a checkpoint, which best-effort jobs do not use.
@@ -74,13 +74,13 @@
         self._client = KeepAliveClient(address, _CONNECT_TIMEOUT, _ANSWER_BYTES)
         self._post = post
         self._clock = clock
-        self._answer_time = AnswerTime(HOLD_ANSWER_WITHIN)
+        self._answer_time = AnswerTime(COMMAND_TIMEOUT)
 
     def close(self) -> None:
         """Close the connections."""
         self._client.close()
 
-    def start(self, order: StartOrder) -> None:
+    def start(self, order: StartCommand) -> None:
         """Tell the worker to start a run; returns at once."""
         body = {
             "task": task_name(order.run.task),
@@ -91,10 +91,15 @@
             "fencing_token": order.token,
         }
         gevent.spawn(
-            self._order, OrderKind.START, "/v1/run-start", order.run, order.worker, body
+            self._order,
+            CommandKind.START,
+            "/v1/run-start",
+            order.run,
+            order.worker,
+            body,
         )
 
-    def stop(self, order: StopOrder) -> None:
+    def stop(self, order: StopCommand) -> None:
         """Tell the worker to stop a run; returns at once."""
         body = {
             "task": task_name(order.run.task),
@@ -102,25 +107,27 @@
             "fencing_token": order.token,
         }
         gevent.spawn(
-            self._order, OrderKind.STOP, "/v1/run-stop", order.run, order.worker, body
+            self._order, CommandKind.STOP, "/v1/run-stop", order.run, order.worker, body
         )
 
-    def hold(self, order: HoldOrder) -> None:
+    def hold(self, order: RenewCommand) -> None:
         """Extend the lease and ask for the lists; returns at once."""
         gevent.spawn(self._hold, order)
 
-    def _order(self, kind: OrderKind, path: str, run, worker: str, body: dict) -> None:
+    def _order(
+        self, kind: CommandKind, path: str, run, worker: str, body: dict
+    ) -> None:
         sent = self._clock.now()
         answer = self._send(path, worker, body, self._answer_time.wait)
         result = _result(answer)
-        if result is OrderResult.UNANSWERED:
+        if result is CommandResult.UNANSWERED:
             self._answer_time.note_missing()
-        elif result is not OrderResult.NOT_SENT:
+        elif result is not CommandResult.NOT_SENT:
             self._answer_time.note(self._clock.now() - sent)
         fields = _fields(answer)
-        self._post(OrderAnswered(kind, run, result, _clock_of(fields), sent))
+        self._post(CommandAnswered(kind, run, result, _clock_of(fields), sent))
 
-    def _hold(self, order: HoldOrder) -> None:
+    def _hold(self, order: RenewCommand) -> None:
         body: dict[str, Any] = {
             "fencing_token": order.token,
             "last_seen": order.last_seen,
@@ -134,10 +141,10 @@
         result = _result(answer)
         fields = _fields(answer)
         event = None
-        if result is OrderResult.ACCEPTED:
+        if result is CommandResult.ACCEPTED:
             event = _hold_answered(sent, order, fields)
         clock = _clock_of(fields)
-        failed = HoldFailed(result, clock, order.is_extra, order.token, order.number)
+        failed = RenewalFailed(result, clock, order.is_extra, order.token, order.number)
         self._post(event or failed)
 
     def _send(
@@ -151,23 +158,23 @@
         return self._client.send(request, within)
 
 
-def _result(answer: Result[HttpAnswer, ExchangeError]) -> OrderResult:
+def _result(answer: Result[HttpAnswer, ExchangeError]) -> CommandResult:
     if not is_successful(answer):
         unsent = answer.failure() is ExchangeError.NOT_SENT
-        return OrderResult.NOT_SENT if unsent else OrderResult.UNANSWERED
+        return CommandResult.NOT_SENT if unsent else CommandResult.UNANSWERED
     status = answer.unwrap().status
     if 200 <= status < 300:
-        return OrderResult.ACCEPTED
+        return CommandResult.ACCEPTED
     if status == _CONFLICT:
         reason = (_fields(answer) or {}).get("reason")
-        return _REASONS.get(reason, OrderResult.INVALID)
+        return _REASONS.get(reason, CommandResult.INVALID)
     if status == _OTHER_LIFE:
-        return OrderResult.OTHER_WORKER
+        return CommandResult.OTHER_WORKER
     if status in _UNHEALTHY:
-        return OrderResult.UNHEALTHY
+        return CommandResult.UNHEALTHY
     if status == _BAD_REQUEST:
-        return OrderResult.INVALID
-    return OrderResult.UNANSWERED
+        return CommandResult.INVALID
+    return CommandResult.UNANSWERED
 
 
 def _fields(answer: Result[HttpAnswer, ExchangeError]) -> dict[str, Any] | None:
@@ -186,12 +193,12 @@
 
 
 def _hold_answered(
-    sent: datetime, order: HoldOrder, fields: dict | None
-) -> HoldAnswered | None:
+    sent: datetime, order: RenewCommand, fields: dict | None
+) -> RenewalAnswered | None:
     """Return the event of an answer, or None for one that can't be read."""
     try:
         born = fields.get("born")
-        return HoldAnswered(
+        return RenewalAnswered(
             sent,
             fields["clock_ms"] * _MILLISECOND,
             int(born) if born is not None else None,
--- a/gypsumspoke/runs/budget.py
+++ b/gypsumspoke/runs/budget.py
@@ -37,18 +37,18 @@
 RENEWAL_TICKS = 0.6
 # Two ticks, the way there and back, and some load; an older order was held up, or its
 # sender was paused.
-ORDER_FRESH_TICKS = 3.5
+MAX_PLACEMENT_AGE_TICKS = 3.5
 # A worker that left holds unanswered for so long gets nothing new.
 WORKER_SILENCE_TICKS = 4.0
 # A run that starts on a shorter lease would be lost if a stop stays unanswered.
-LEAST_LEASE_SHARE = 0.5
+MIN_LEASE_SHARE = 0.5
 PULSE_TICKS = 0.8
 
 # More often than this costs processor time and brings nothing.
-LONGEST_TICK = timedelta(milliseconds=100)
+MAX_TICK = timedelta(milliseconds=100)
 # The platform may keep a process from running for the rest of a tenth of a second. With
 # a shorter tick each such pause would count as the loss of an entry.
-SHORTEST_TICK = timedelta(milliseconds=25)
+MIN_TICK = timedelta(milliseconds=25)
 
 
 class Bounds(NamedTuple):
@@ -62,13 +62,13 @@
 
     resend: timedelta
     stop: timedelta
-    longest_lease: timedelta
+    max_lease: timedelta
 
 
 DEFAULT_BOUNDS = Bounds(
     resend=timedelta(milliseconds=1300),
     stop=timedelta(milliseconds=50),
-    longest_lease=timedelta(milliseconds=1000),
+    max_lease=timedelta(milliseconds=1000),
 )
 
 
@@ -89,24 +89,24 @@
         return self.tick * ENTRY_SILENCE_TICKS
 
     @property
-    def order_fresh(self) -> timedelta:
+    def max_placement_age(self) -> timedelta:
         """An order may be this old, by the sidecar's own clock."""
-        return self.tick * ORDER_FRESH_TICKS
+        return self.tick * MAX_PLACEMENT_AGE_TICKS
 
     @property
     def lease(self) -> timedelta:
         """A sidecar extends its worker's lease by this at a time."""
-        return min(self.tick * LEASE_TICKS, self.bounds.longest_lease)
+        return min(self.tick * LEASE_TICKS, self.bounds.max_lease)
 
     @property
-    def lease_at_most(self) -> timedelta:
+    def lease_on_slow_clock(self) -> timedelta:
         """How long a lease can last on a worker whose clock is slow."""
         return self.on_slow_clock(self.lease)
 
     @property
-    def longest_lease(self) -> timedelta:
+    def max_lease_on_slow_clock(self) -> timedelta:
         """How long any lease can last, whatever end it names."""
-        return self.on_slow_clock(self.bounds.longest_lease)
+        return self.on_slow_clock(self.bounds.max_lease)
 
     @property
     def renewal_interval(self) -> timedelta:
@@ -119,12 +119,12 @@
         return self.tick * WORKER_SILENCE_TICKS
 
     @property
-    def least_lease(self) -> timedelta:
+    def min_lease(self) -> timedelta:
         """Nothing starts on a lease that may only be shorter than this."""
-        return self.lease * LEAST_LEASE_SHARE
+        return self.lease * MIN_LEASE_SHARE
 
     @property
-    def stop_shows_after(self) -> timedelta:
+    def stop_settle_time(self) -> timedelta:
         """An accepted stop has taken effect, and shows, by then.
 
         The bound on a stop, and a fifth of it for the worker's clock and its whole
@@ -138,11 +138,11 @@
         return self.tick * PULSE_TICKS
 
     @property
-    def runs_dead_after(self) -> timedelta:
+    def run_expiry(self) -> timedelta:
         """All runs of an entry are gone this long after its last proof of life."""
-        return self.entry_silence + self.lease_at_most + self.bounds.stop
+        return self.entry_silence + self.lease_on_slow_clock + self.bounds.stop
 
-    def lease_left(self, silence: timedelta) -> timedelta:
+    def allowed_lease(self, silence: timedelta) -> timedelta:
         """Return the longest lease for runs whose entry was last heard so long ago.
 
         Whenever it is named, it has ended ``runs_dead_after`` the last proof of life.
@@ -167,9 +167,9 @@
     lease_ticks = LEASE_TICKS * (1 + WORKER_CLOCK_ERROR)
     # One more for what an entry takes to notice that a caller has left.
     ticks = ENTRY_SILENCE_TICKS + lease_ticks + 1
-    tick = min((bounds.resend - bounds.stop) / ticks, LONGEST_TICK)
-    if tick < SHORTEST_TICK:
-        least = bounds.stop + SHORTEST_TICK * ticks
+    tick = min((bounds.resend - bounds.stop) / ticks, MAX_TICK)
+    if tick < MIN_TICK:
+        least = bounds.stop + MIN_TICK * ticks
         millisecond = timedelta(milliseconds=1)
         return Failure(
             f"callers come back after {bounds.resend // millisecond} ms; runs of a "
--- a/gypsumspoke/runs/fleet.py
+++ b/gypsumspoke/runs/fleet.py
@@ -53,7 +53,7 @@
         budget: Budget = DEFAULT_BUDGET,
     ) -> None:
         self.budget = budget
-        self.order_fresh = budget.order_fresh
+        self.max_placement_age = budget.max_placement_age
         self.incarnation = incarnation
         self.host = host
         self.pace = UNKNOWN_PACE
@@ -97,7 +97,7 @@
     @property
     def runs_dead_at(self) -> datetime:
         """When all runs placed there are certainly gone if it stays silent."""
-        return self.last_sent + self.budget.runs_dead_after
+        return self.last_sent + self.budget.run_expiry
 
 
 def take_report(view: SidecarView, report: WorkerReport, read: datetime) -> None:
@@ -153,7 +153,7 @@
         and view.report.takes_work
         # An order names the time of the report, and one that is older is refused. A
         # sidecar that was not heard for so long may also be frozen or cut off.
-        and now - view.reported < view.order_fresh
+        and now - view.reported < view.max_placement_age
         # A worker that fails is tried with one run at a time.
         and not (view.report.failing and view.open_runs)
     )
--- a/gypsumspoke/runs/guard.py
+++ b/gypsumspoke/runs/supervisor.py
@@ -14,21 +14,12 @@
 from gypsumspoke.core.effects import Effect, Log
 from gypsumspoke.core.events import Drain, PeerConnected, PeerLost, Received, Tick
 from gypsumspoke.runs import (
-    guard_holds,
-    guard_life,
-    guard_orders,
-    guard_report,
+    supervisor_commands,
+    supervisor_incarnation,
+    supervisor_renewals,
+    supervisor_report,
 )
 from gypsumspoke.runs.directory import EntriesRead, SettingsRead
-from gypsumspoke.runs.guard_placing import (
-    note_alive,
-    take_asked,
-    take_placed,
-    take_withdrawn,
-)
-from gypsumspoke.runs.guard_state import GuardState
-from gypsumspoke.runs.guard_stop import begin_stop, continue_stop
-from gypsumspoke.runs.guard_waiting import refuse_waiting, start_waiting
 from gypsumspoke.runs.messages import (
     AskRun,
     KnownEntries,
@@ -37,17 +28,26 @@
     RunMessage,
     WithdrawRun,
 )
-from gypsumspoke.runs.orders import (
+from gypsumspoke.runs.supervisor_placement import (
+    note_alive,
+    take_asked,
+    take_placed,
+    take_withdrawn,
+)
+from gypsumspoke.runs.supervisor_queue import refuse_waiting, start_waiting
+from gypsumspoke.runs.supervisor_state import SupervisorState
+from gypsumspoke.runs.supervisor_stop import begin_stop, continue_stop
+from gypsumspoke.runs.values import EndReason, WorkerReady
+from gypsumspoke.runs.worker_commands import (
+    CommandAnswered,
     HeartbeatArrived,
-    HoldAnswered,
-    HoldFailed,
-    OrderAnswered,
+    RenewalAnswered,
+    RenewalFailed,
     WorkerLeft,
 )
-from gypsumspoke.runs.values import EndReason, WorkerReady
 
 
-def reduce(state: GuardState, event: Any, now: datetime) -> list[Effect]:
+def reduce(state: SupervisorState, event: Any, now: datetime) -> list[Effect]:
     """Take one event.
 
     Args:
@@ -59,28 +59,28 @@
       What is to be done.
     """
     effects = _take(event, state, now)
-    return [*effects, *guard_report.report_changes(state, now)]
+    return [*effects, *supervisor_report.report_changes(state, now)]
 
 
 @singledispatch
-def _take(event: Any, state: GuardState, now: datetime) -> list[Effect]:
+def _take(event: Any, state: SupervisorState, now: datetime) -> list[Effect]:
     return []
 
 
 @_take.register
-def _(event: Received, state: GuardState, now: datetime) -> list[Effect]:
+def _(event: Received, state: SupervisorState, now: datetime) -> list[Effect]:
     return _take_message(event.message, event.sender, state, now)
 
 
 @_take.register
-def _(event: PeerConnected, state: GuardState, now: datetime) -> list[Effect]:
+def _(event: PeerConnected, state: SupervisorState, now: datetime) -> list[Effect]:
     state.peers.add(event.incarnation)
     state.taken[event.incarnation] = 0
-    return guard_report.report_to(state, event.incarnation, now)
+    return supervisor_report.report_to(state, event.incarnation, now)
 
 
 @_take.register
-def _(event: PeerLost, state: GuardState, now: datetime) -> list[Effect]:
+def _(event: PeerLost, state: SupervisorState, now: datetime) -> list[Effect]:
     # Its runs go on: the entry may be back in a moment. If not, its silence ends them.
     state.peers.discard(event.incarnation)
     state.taken.pop(event.incarnation, None)
@@ -89,15 +89,15 @@
 
 
 @_take.register
-def _(event: HeartbeatArrived, state: GuardState, now: datetime) -> list[Effect]:
-    effects = guard_life.take_registration(state, event.registration, now)
+def _(event: HeartbeatArrived, state: SupervisorState, now: datetime) -> list[Effect]:
+    effects = supervisor_incarnation.take_registration(state, event.registration, now)
     if state.worker and state.worker.state is WorkerReady.DRAINING:
         effects += refuse_waiting(state, EndReason.WORKER_DRAINING, now)
     return [*effects, *start_waiting(state, now)]
 
 
 @_take.register
-def _(event: WorkerLeft, state: GuardState, now: datetime) -> list[Effect]:
+def _(event: WorkerLeft, state: SupervisorState, now: datetime) -> list[Effect]:
     if state.worker is None or state.worker.id != event.id:
         return []
     state.worker = state.worker._replace(state=WorkerReady.DRAINING)
@@ -106,41 +106,41 @@
 
 
 @_take.register
-def _(event: OrderAnswered, state: GuardState, now: datetime) -> list[Effect]:
-    effects = guard_orders.take_answer(state, event, now)
+def _(event: CommandAnswered, state: SupervisorState, now: datetime) -> list[Effect]:
+    effects = supervisor_commands.take_answer(state, event, now)
     return [*effects, *start_waiting(state, now)]
 
 
 @_take.register
-def _(event: HoldAnswered, state: GuardState, now: datetime) -> list[Effect]:
-    effects = guard_holds.take_hold(state, event, now)
+def _(event: RenewalAnswered, state: SupervisorState, now: datetime) -> list[Effect]:
+    effects = supervisor_renewals.take_hold(state, event, now)
     effects += start_waiting(state, now)
-    return [*effects, *guard_holds.next_hold(state, now)]
+    return [*effects, *supervisor_renewals.next_hold(state, now)]
 
 
 @_take.register
-def _(event: HoldFailed, state: GuardState, now: datetime) -> list[Effect]:
-    return guard_holds.take_failed_hold(state, event, now)
+def _(event: RenewalFailed, state: SupervisorState, now: datetime) -> list[Effect]:
+    return supervisor_renewals.take_failed_hold(state, event, now)
 
 
 @_take.register
-def _(event: Tick, state: GuardState, now: datetime) -> list[Effect]:
+def _(event: Tick, state: SupervisorState, now: datetime) -> list[Effect]:
     effects = _stop_runs_of_silent_entries(state, now)
-    effects += guard_holds.check_lease(state, now)
-    effects += guard_orders.repeat_stops(state, now)
-    effects += guard_holds.next_hold(state, now)
+    effects += supervisor_renewals.check_lease(state, now)
+    effects += supervisor_commands.repeat_stops(state, now)
+    effects += supervisor_renewals.next_hold(state, now)
     effects += start_waiting(state, now)
-    effects += guard_report.report_regularly(state, now)
+    effects += supervisor_report.report_regularly(state, now)
     return [*effects, *continue_stop(state, now)]
 
 
 @_take.register
-def _(event: EntriesRead, state: GuardState, now: datetime) -> list[Effect]:
+def _(event: EntriesRead, state: SupervisorState, now: datetime) -> list[Effect]:
     return state.directory.take_stored(event.addresses)
 
 
 @_take.register
-def _(event: SettingsRead, state: GuardState, now: datetime) -> list[Effect]:
+def _(event: SettingsRead, state: SupervisorState, now: datetime) -> list[Effect]:
     return state.directory.take_given(event.known_entries)
 
 
@@ -150,25 +150,27 @@
 
 @singledispatch
 def _take_message(
-    message: RunMessage, sender: str, state: GuardState, now: datetime
+    message: RunMessage, sender: str, state: SupervisorState, now: datetime
 ) -> list[Effect]:
     return []
 
 
 @_take_message.register
-def _(message: Pulse, sender: str, state: GuardState, now: datetime) -> list[Effect]:
+def _(
+    message: Pulse, sender: str, state: SupervisorState, now: datetime
+) -> list[Effect]:
     note_alive(state, sender, message.heard, now)
     return []
 
 
 @_take_message.register
 def _(
-    message: KnownEntries, sender: str, state: GuardState, now: datetime
+    message: KnownEntries, sender: str, state: SupervisorState, now: datetime
 ) -> list[Effect]:
     return state.directory.take_told(message.addresses)
 
 
-def _stop_runs_of_silent_entries(state: GuardState, now: datetime) -> list[Effect]:
+def _stop_runs_of_silent_entries(state: SupervisorState, now: datetime) -> list[Effect]:
     """End the runs of entries that were not heard for ``entry_silence``.
 
     An entry that died can't stop them, and its caller will send the job again. Without
@@ -178,7 +180,7 @@
     limit = now - state.budget.entry_silence
     for guarded in list(state.runs.values()):
         if state.heard.get(guarded.coordinator, state.origin) < limit:
-            effects += guard_orders.end_run_early(
+            effects += supervisor_commands.end_run_early(
                 state, guarded, EndReason.COORDINATOR_SILENT, now
             )
     for entry, heard in list(state.heard.items()):
--- a/gypsumspoke/runs/guard_orders.py
+++ b/gypsumspoke/runs/supervisor_commands.py
@@ -5,28 +5,39 @@
 from functools import partial
 
 from gypsumspoke.core.effects import Effect, Log
-from gypsumspoke.runs.guard_ends import finish, note_failure
-from gypsumspoke.runs.guard_lease import last_word, name_lease_end
-from gypsumspoke.runs.guard_life import is_of_this_life, note_clock, raise_token
-from gypsumspoke.runs.guard_report import is_failing
-from gypsumspoke.runs.guard_state import GuardedRun, GuardState, Phase, hold_room
-from gypsumspoke.runs.orders import (
-    HoldOrder,
-    OrderAnswered,
-    OrderKind,
-    OrderResult,
-    StartOrder,
-    StopOrder,
+from gypsumspoke.runs.supervisor_ends import finish, note_failure
+from gypsumspoke.runs.supervisor_incarnation import (
+    is_of_this_life,
+    note_clock,
+    raise_token,
+)
+from gypsumspoke.runs.supervisor_lease import last_word, name_lease_end
+from gypsumspoke.runs.supervisor_report import is_failing
+from gypsumspoke.runs.supervisor_state import (
+    Phase,
+    SupervisedRun,
+    SupervisorState,
+    hold_room,
 )
 from gypsumspoke.runs.values import EndReason, RunEnd
+from gypsumspoke.runs.worker_commands import (
+    CommandAnswered,
+    CommandKind,
+    CommandResult,
+    RenewCommand,
+    StartCommand,
+    StopCommand,
+)
 
 # A stop without an answer is sent again this often; one answer takes a few ms.
-STOP_AGAIN = timedelta(milliseconds=100)
+STOP_RETRY_INTERVAL = timedelta(milliseconds=100)
 # A worker that fails is tried with one run this often.
 PROBE_INTERVAL = timedelta(milliseconds=700)
 
 
-def start_run(state: GuardState, guarded: GuardedRun, now: datetime) -> list[Effect]:
+def start_run(
+    state: SupervisorState, guarded: SupervisedRun, now: datetime
+) -> list[Effect]:
     """Take the room and tell the worker to start a waiting run."""
     guarded.phase = Phase.STARTING
     guarded.started = now
@@ -34,7 +45,7 @@
     hold_room(state, guarded)
     if is_failing(state):
         state.next_probe = now + PROBE_INTERVAL
-    order = StartOrder(
+    order = StartCommand(
         guarded.run,
         guarded.spec,
         state.worker.id,
@@ -45,7 +56,7 @@
 
 
 def end_run_early(
-    state: GuardState, guarded: GuardedRun, reason: EndReason, now: datetime
+    state: SupervisorState, guarded: SupervisedRun, reason: EndReason, now: datetime
 ) -> list[Effect]:
     """Drop a waiting run, or have a started one stopped."""
     if guarded.phase is Phase.WAITING:
@@ -59,23 +70,27 @@
     return _send_stop(state, guarded, now)
 
 
-def repeat_stops(state: GuardState, now: datetime) -> list[Effect]:
+def repeat_stops(state: SupervisorState, now: datetime) -> list[Effect]:
     """Send stops again that got no answer."""
     effects: list[Effect] = []
     for guarded in state.runs.values():
         if guarded.phase is not Phase.STOPPING or guarded.stop_clock is not None:
             continue
-        if guarded.stop_sent is None or now - guarded.stop_sent >= STOP_AGAIN:
+        if guarded.stop_sent is None or now - guarded.stop_sent >= STOP_RETRY_INTERVAL:
             effects += _send_stop(state, guarded, now)
     return effects
 
 
-def _send_stop(state: GuardState, guarded: GuardedRun, now: datetime) -> list[Effect]:
+def _send_stop(
+    state: SupervisorState, guarded: SupervisedRun, now: datetime
+) -> list[Effect]:
     guarded.stop_sent = now
-    return [StopOrder(guarded.run, state.worker_id, state.token)]
+    return [StopCommand(guarded.run, state.worker_id, state.token)]
 
 
-def take_answer(state: GuardState, event: OrderAnswered, now: datetime) -> list[Effect]:
+def take_answer(
+    state: SupervisorState, event: CommandAnswered, now: datetime
+) -> list[Effect]:
     """Take the worker's answer to a start or a stop."""
     if not is_of_this_life(state, event.sent):
         event = event._replace(clock=None)
@@ -83,35 +98,40 @@
     guarded = state.runs.get(event.run)
     if guarded is None:
         return []
-    if event.kind is OrderKind.STOP:
+    if event.kind is CommandKind.STOP:
         return _take_stop_answer(state, guarded, event, now)
-    if event.result is OrderResult.ACCEPTED:
+    if event.result is CommandResult.ACCEPTED:
         guarded.start_clock = event.clock
     return _START_ANSWERS[event.result](state, guarded, now)
 
 
 def _take_stop_answer(
-    state: GuardState, guarded: GuardedRun, event: OrderAnswered, now: datetime
+    state: SupervisorState,
+    guarded: SupervisedRun,
+    event: CommandAnswered,
+    now: datetime,
 ) -> list[Effect]:
     """Note when a stop was accepted; repeat an unanswered one."""
-    if event.result is OrderResult.ACCEPTED:
+    if event.result is CommandResult.ACCEPTED:
         guarded.stop_clock = event.clock
         return []
-    if event.result is OrderResult.UNANSWERED and guarded.stop_clock is None:
+    if event.result is CommandResult.UNANSWERED and guarded.stop_clock is None:
         return _send_stop(state, guarded, now)
     return []
 
 
-def extra_hold(state: GuardState) -> list[Effect]:
+def extra_hold(state: SupervisorState) -> list[Effect]:
     """Ask at once, beside the hold under way, what runs and what ended."""
     return [
-        HoldOrder(
+        RenewCommand(
             state.worker_id, None, state.last_seen, timedelta(), state.token, True
         )
     ]
 
 
-def _started(state: GuardState, guarded: GuardedRun, now: datetime) -> list[Effect]:
+def _started(
+    state: SupervisorState, guarded: SupervisedRun, now: datetime
+) -> list[Effect]:
     if guarded.phase is Phase.STARTING:
         guarded.phase = Phase.RUNNING
         guarded.started = now
@@ -120,7 +140,7 @@
 
 
 def _not_started(
-    reason: EndReason, state: GuardState, guarded: GuardedRun, now: datetime
+    reason: EndReason, state: SupervisorState, guarded: SupervisedRun, now: datetime
 ) -> list[Effect]:
     if reason is EndReason.WORKER_UNHEALTHY:
         note_failure(state, 1.0)
@@ -131,7 +151,9 @@
     return finish(state, guarded, RunEnd.NOT_RUN, reason, now)
 
 
-def _in_doubt(state: GuardState, guarded: GuardedRun, now: datetime) -> list[Effect]:
+def _in_doubt(
+    state: SupervisorState, guarded: SupervisedRun, now: datetime
+) -> list[Effect]:
     """Ask whether a run is at work whose start got no answer.
 
     A worker that was slow for a moment shows the run, and nothing is lost.
@@ -144,7 +166,7 @@
 
 
 def give_up_start(
-    state: GuardState, guarded: GuardedRun, now: datetime
+    state: SupervisorState, guarded: SupervisedRun, now: datetime
 ) -> list[Effect]:
     """Stop a run whose start got no answer and which does not show.
 
@@ -155,26 +177,28 @@
     return end_run_early(state, guarded, EndReason.START_UNANSWERED, now)
 
 
-def _fenced(state: GuardState, guarded: GuardedRun, now: datetime) -> list[Effect]:
+def _fenced(
+    state: SupervisorState, guarded: SupervisedRun, now: datetime
+) -> list[Effect]:
     raise_token(state, now)
     return _not_started(EndReason.ORDER_STALE, state, guarded, now)
 
 
 _START_ANSWERS = {
-    OrderResult.ACCEPTED: _started,
-    OrderResult.UNANSWERED: _in_doubt,
-    OrderResult.FENCED: _fenced,
-    OrderResult.NUMBER_TOO_LOW: partial(_not_started, EndReason.NUMBER_TOO_LOW),
-    OrderResult.LATE: partial(_not_started, EndReason.START_LATE),
-    OrderResult.NO_ROOM: partial(_not_started, EndReason.WORKER_REFUSED_ROOM),
-    OrderResult.INVALID: partial(_not_started, EndReason.WORKER_UNHEALTHY),
-    OrderResult.UNHEALTHY: partial(_not_started, EndReason.WORKER_UNHEALTHY),
-    OrderResult.OTHER_WORKER: partial(_not_started, EndReason.WORKER_GONE),
-    OrderResult.NOT_SENT: partial(_not_started, EndReason.WORKER_GONE),
+    CommandResult.ACCEPTED: _started,
+    CommandResult.UNANSWERED: _in_doubt,
+    CommandResult.FENCED: _fenced,
+    CommandResult.NUMBER_TOO_LOW: partial(_not_started, EndReason.NUMBER_TOO_LOW),
+    CommandResult.LATE: partial(_not_started, EndReason.START_LATE),
+    CommandResult.NO_ROOM: partial(_not_started, EndReason.WORKER_REFUSED_ROOM),
+    CommandResult.INVALID: partial(_not_started, EndReason.WORKER_UNHEALTHY),
+    CommandResult.UNHEALTHY: partial(_not_started, EndReason.WORKER_UNHEALTHY),
+    CommandResult.OTHER_WORKER: partial(_not_started, EndReason.WORKER_GONE),
+    CommandResult.NOT_SENT: partial(_not_started, EndReason.WORKER_GONE),
 }
 
 
-def _log_start(guarded: GuardedRun) -> Log:
+def _log_start(guarded: SupervisedRun) -> Log:
     fields = (
         ("job", guarded.run.task.job),
         ("step", guarded.run.task.step),
--- a/gypsumspoke/runs/guard_ends.py
+++ b/gypsumspoke/runs/supervisor_ends.py
@@ -4,8 +4,13 @@
 from datetime import datetime, timedelta
 
 from gypsumspoke.core.effects import Count, Effect, Log, Send
-from gypsumspoke.runs.guard_state import GuardedRun, GuardState, Phase, keep_end
 from gypsumspoke.runs.messages import RunEnded
+from gypsumspoke.runs.supervisor_state import (
+    Phase,
+    SupervisedRun,
+    SupervisorState,
+    keep_end,
+)
 from gypsumspoke.runs.values import EndReason, RunEnd, subtract
 
 # Weight of the newest end in the smoothed pace and share of failures: about the last
@@ -15,8 +20,8 @@
 
 
 def finish(
-    state: GuardState,
-    guarded: GuardedRun,
+    state: SupervisorState,
+    guarded: SupervisedRun,
     end: RunEnd,
     reason: EndReason,
     now: datetime,
@@ -39,7 +44,9 @@
     ]
 
 
-def _learn(state: GuardState, guarded: GuardedRun, end: RunEnd, now: datetime) -> None:
+def _learn(
+    state: SupervisorState, guarded: SupervisedRun, end: RunEnd, now: datetime
+) -> None:
     """Learn the worker's pace from what is done, and its health from all ends."""
     if end is RunEnd.FAILED:
         note_failure(state, 1.0)
@@ -53,7 +60,7 @@
         state.pace = known + PACE_WEIGHT * (pace - known)
 
 
-def note_failure(state: GuardState, value: float) -> None:
+def note_failure(state: SupervisorState, value: float) -> None:
     state.failing += FAILING_WEIGHT * (value - state.failing)
 
 
--- a/gypsumspoke/runs/guard_life.py
+++ b/gypsumspoke/runs/supervisor_incarnation.py
@@ -5,12 +5,12 @@
 
 from gypsumspoke.core.effects import Effect, Log
 from gypsumspoke.runs.budget import WORKER_CLOCK_ERROR
-from gypsumspoke.runs.guard_state import GuardState, Lease, Phase
+from gypsumspoke.runs.supervisor_state import Lease, Phase, SupervisorState
 from gypsumspoke.runs.values import Registration
 
 
 def take_registration(
-    state: GuardState, registration: Registration, now: datetime
+    state: SupervisorState, registration: Registration, now: datetime
 ) -> list[Effect]:
     """Take what the worker says of itself, unless it is old or another service's."""
     if state.service and registration.service != state.service:
@@ -53,7 +53,7 @@
     return [Log(logging.INFO, "worker registered", fields=fields)]
 
 
-def take_life(state: GuardState, born: int, now: datetime) -> None:
+def take_life(state: SupervisorState, born: int, now: datetime) -> None:
     """Go over to a new life of the worker, which knows and runs nothing of before.
 
     Its ends count from 1 again. Compared with the old count they would all seem taken
@@ -85,11 +85,11 @@
         guarded.outlived = guarded.phase is not Phase.WAITING
     # A start that was meant for the old life named a time of the old clock, which may
     # be far ahead on the new one; the worker shortens such a lease to its maximum.
-    ends_by = max(state.lease.ends_by, now + state.budget.longest_lease)
+    ends_by = max(state.lease.ends_by, now + state.budget.max_lease_on_slow_clock)
     state.lease = Lease(None, now, ends_by)
 
 
-def is_of_this_life(state: GuardState, sent: datetime | None) -> bool:
+def is_of_this_life(state: SupervisorState, sent: datetime | None) -> bool:
     """Return whether an answer must be one of the worker's newest life.
 
     An order that was sent before that life showed may have been answered by the one
@@ -100,19 +100,19 @@
     return sent > state.born_learnt
 
 
-def note_clock(state: GuardState, clock: timedelta | None, now: datetime) -> None:
+def note_clock(state: SupervisorState, clock: timedelta | None, now: datetime) -> None:
     """Learn the worker's clock; what the answer took makes it too low, if at all."""
     if clock is not None:
         state.lease = state.lease._replace(clock=clock, read_at=now)
 
 
-def worker_clock(state: GuardState, now: datetime) -> timedelta:
+def worker_clock(state: SupervisorState, now: datetime) -> timedelta:
     """Return the worker's clock, at most its true value: it may be slow."""
     since = now - state.lease.read_at
     return state.lease.clock + since / (1 + WORKER_CLOCK_ERROR)
 
 
-def raise_token(state: GuardState, now: datetime) -> None:
+def raise_token(state: SupervisorState, now: datetime) -> None:
     """Take a fencing token above those of earlier processes of this sidecar.
 
     The worker's own clock only rises within its life, and its memory of tokens ends
@@ -124,7 +124,7 @@
         state.token = max(state.token, clock, 1)
 
 
-def outbid_token(state: GuardState, refused: int, now: datetime) -> None:
+def outbid_token(state: SupervisorState, refused: int, now: datetime) -> None:
     """Take a higher token after the worker refused an order for its token.
 
     The clock is not enough on a young life: an earlier process of this sidecar may have
--- a/gypsumspoke/runs/guard_lease.py
+++ b/gypsumspoke/runs/supervisor_lease.py
@@ -11,14 +11,14 @@
 from datetime import datetime, timedelta
 
 from gypsumspoke.core.effects import Count, Effect, Log
-from gypsumspoke.runs.guard_life import worker_clock
-from gypsumspoke.runs.guard_state import GuardedRun, GuardState, Phase
+from gypsumspoke.runs.supervisor_incarnation import worker_clock
+from gypsumspoke.runs.supervisor_state import Phase, SupervisedRun, SupervisorState
 from gypsumspoke.runs.values import LeaseEvent
 
 _MILLISECOND = timedelta(milliseconds=1)
 
 
-def last_word(state: GuardState, guarded: GuardedRun) -> datetime:
+def last_word(state: SupervisorState, guarded: SupervisedRun) -> datetime:
     """Return when a run's coordinator was last known to count on it.
 
     What the coordinator says after it withdrew the run is no word for it.
@@ -28,42 +28,44 @@
     return state.heard.get(guarded.coordinator, state.origin)
 
 
-def lease_left(state: GuardState, now: datetime) -> timedelta:
+def allowed_lease(state: SupervisorState, now: datetime) -> timedelta:
     """Return the longest lease that may be named now; zero or less for none."""
     oldest = _oldest(state)
     if oldest is None:
         return state.budget.lease
-    return state.budget.lease_left(now - last_word(state, oldest))
+    return state.budget.allowed_lease(now - last_word(state, oldest))
 
 
-def may_start(state: GuardState, now: datetime) -> bool:
+def may_start(state: SupervisorState, now: datetime) -> bool:
     """Return whether the lease suits another run of an entry that was just heard."""
-    if lease_left(state, now) < state.budget.least_lease:
+    if allowed_lease(state, now) < state.budget.min_lease:
         return False
     return _ends_in_budget(state, now - state.budget.tick)
 
 
-def may_start_run(state: GuardState, guarded: GuardedRun, now: datetime) -> bool:
+def may_start_run(
+    state: SupervisorState, guarded: SupervisedRun, now: datetime
+) -> bool:
     """Return whether a waiting run's coordinator was heard lately enough for it."""
     word = last_word(state, guarded)
-    if state.budget.lease_left(now - word) < state.budget.least_lease:
+    if state.budget.allowed_lease(now - word) < state.budget.min_lease:
         return False
     return _ends_in_budget(state, word)
 
 
-def _ends_in_budget(state: GuardState, word: datetime) -> bool:
+def _ends_in_budget(state: SupervisorState, word: datetime) -> bool:
     """Return whether the lease named so far is not too long for such a last word.
 
     It never shortens. Named for runs of entries that were heard later, or on the clock
     of an earlier life of the worker, it may be.
     """
-    longest = state.budget.entry_silence + state.budget.lease_at_most
+    longest = state.budget.entry_silence + state.budget.lease_on_slow_clock
     return state.lease.ends_by <= word + longest
 
 
-def name_lease_end(state: GuardState, now: datetime) -> timedelta | None:
+def name_lease_end(state: SupervisorState, now: datetime) -> timedelta | None:
     """Return the end that an order sent now names, on the worker's clock."""
-    left = lease_left(state, now)
+    left = allowed_lease(state, now)
     if left <= timedelta():
         return None
     ends_by = max(state.lease.ends_by, now + state.budget.on_slow_clock(left))
@@ -71,14 +73,14 @@
     return worker_clock(state, now) + left
 
 
-def note_withheld(state: GuardState, now: datetime) -> list[Effect]:
+def note_withheld(state: SupervisorState, now: datetime) -> list[Effect]:
     """Look whether the lease is short, and tell when an unanswered stop is why."""
     state.is_lease_short = not may_start(state, now)
     oldest = _oldest(state)
     is_withheld = (
         oldest is not None
         and oldest.phase is Phase.STOPPING
-        and lease_left(state, now) < state.budget.lease
+        and allowed_lease(state, now) < state.budget.lease
     )
     if is_withheld is (state.lease_withheld is not None):
         return []
@@ -105,7 +107,7 @@
     ]
 
 
-def _oldest(state: GuardState) -> GuardedRun | None:
+def _oldest(state: SupervisorState) -> SupervisedRun | None:
     """Return the run at work whose coordinator's last word is the oldest."""
     at_work = (
         guarded
--- a/gypsumspoke/runs/guard_orphans.py
+++ b/gypsumspoke/runs/supervisor_orphans.py
@@ -13,12 +13,12 @@
 from datetime import timedelta
 
 from gypsumspoke.core.effects import Effect, Log
-from gypsumspoke.runs.guard_state import GuardState
-from gypsumspoke.runs.orders import HoldAnswered, StopOrder
+from gypsumspoke.runs.supervisor_state import SupervisorState
+from gypsumspoke.runs.worker_commands import RenewalAnswered, StopCommand
 
 
 def stop_orphans(
-    state: GuardState, event: HoldAnswered, is_first: bool
+    state: SupervisorState, event: RenewalAnswered, is_first: bool
 ) -> list[Effect]:
     """Have the unknown runs of a list stopped, and forget those that are gone.
 
@@ -37,7 +37,7 @@
         _forget_gone(state, event)
     state.orphans.update(dict.fromkeys(unknown))
     effects: list[Effect] = [
-        StopOrder(run, state.worker_id, state.token) for run in sorted(unknown)
+        StopCommand(run, state.worker_id, state.token) for run in sorted(unknown)
     ]
     if fresh:
         fields = (("runs", len(fresh)), ("at_start", is_first))
@@ -45,7 +45,7 @@
     return effects
 
 
-def _quiet_from(state: GuardState, event: HoldAnswered) -> timedelta:
+def _quiet_from(state: SupervisorState, event: RenewalAnswered) -> timedelta:
     """Return from when on, by the worker's clock, no list hides an unknown run.
 
     A run may have been in the middle of its stop when the first list was made. A worker
@@ -53,10 +53,10 @@
     """
     if event.token == 0:
         return event.clock
-    return event.clock + state.budget.stop_shows_after
+    return event.clock + state.budget.stop_settle_time
 
 
-def _forget_gone(state: GuardState, event: HoldAnswered) -> None:
+def _forget_gone(state: SupervisorState, event: RenewalAnswered) -> None:
     listed = {running.run for running in event.running}
     ended = {end.run for end in event.ended}
     for run, vanished in list(state.orphans.items()):
@@ -64,5 +64,5 @@
             continue
         if vanished is None:
             state.orphans[run] = vanished = event.clock
-        if run in ended or event.clock > vanished + state.budget.stop_shows_after:
+        if run in ended or event.clock > vanished + state.budget.stop_settle_time:
             del state.orphans[run]
--- a/gypsumspoke/runs/guard_placing.py
+++ b/gypsumspoke/runs/supervisor_placement.py
@@ -9,21 +9,21 @@
 from datetime import datetime, timedelta
 
 from gypsumspoke.core.effects import Count, Effect, Send
-from gypsumspoke.runs import guard_ends, guard_orders, guard_report
-from gypsumspoke.runs.guard_state import (
-    GuardedRun,
-    GuardState,
+from gypsumspoke.runs import supervisor_commands, supervisor_ends, supervisor_report
+from gypsumspoke.runs.messages import AskRun, PlaceRun, RunEnded, WithdrawRun
+from gypsumspoke.runs.supervisor_queue import start_waiting
+from gypsumspoke.runs.supervisor_state import (
     Phase,
+    SupervisedRun,
+    SupervisorState,
     keep_end,
     note_highest,
 )
-from gypsumspoke.runs.guard_waiting import start_waiting
-from gypsumspoke.runs.messages import AskRun, PlaceRun, RunEnded, WithdrawRun
 from gypsumspoke.runs.values import EndReason, RunEnd, RunId, WorkerReady, fits
 
 
 def take_placed(
-    message: PlaceRun, sender: str, state: GuardState, now: datetime
+    message: PlaceRun, sender: str, state: SupervisorState, now: datetime
 ) -> list[Effect]:
     """Start a run, let it wait for an older one, or send it back."""
     if sender in state.taken:
@@ -34,7 +34,7 @@
         return known
     # An order that was held up by a cut, or lay in the buffers of a process that was
     # paused, may come after its entry has given the run up and placed it elsewhere.
-    if state.origin + message.heard < now - state.budget.order_fresh:
+    if state.origin + message.heard < now - state.budget.max_placement_age:
         return _refuse(state, message.run, sender, EndReason.ORDER_STALE)
     effects = _end_older_runs(state, message.run, sender, now)
     reason = _cannot_take(state, message)
@@ -42,7 +42,7 @@
         return [*effects, *_refuse(state, message.run, sender, reason)]
     state.order += 1
     note_highest(state, message.run)
-    state.runs[message.run] = GuardedRun(
+    state.runs[message.run] = SupervisedRun(
         message.run,
         sender,
         message.room,
@@ -57,14 +57,14 @@
 
 
 def take_asked(
-    message: AskRun, sender: str, state: GuardState, now: datetime
+    message: AskRun, sender: str, state: SupervisorState, now: datetime
 ) -> list[Effect]:
     """Say what became of a run; one that was never seen never starts."""
     return _tell_or_refuse(state, message.run, sender)
 
 
 def take_withdrawn(
-    message: WithdrawRun, sender: str, state: GuardState, now: datetime
+    message: WithdrawRun, sender: str, state: SupervisorState, now: datetime
 ) -> list[Effect]:
     """End a run; of one that is not here say what became of it, as if asked.
 
@@ -73,25 +73,29 @@
     guarded = state.runs.get(message.run)
     if guarded is None or guarded.coordinator != sender:
         return _tell_or_refuse(state, message.run, sender)
-    effects = guard_orders.end_run_early(state, guarded, EndReason.WITHDRAWN, now)
+    effects = supervisor_commands.end_run_early(
+        state, guarded, EndReason.WITHDRAWN, now
+    )
     return [*effects, *start_waiting(state, now)]
 
 
-def note_alive(state: GuardState, sender: str, heard: timedelta, now: datetime) -> None:
+def note_alive(
+    state: SupervisorState, sender: str, heard: timedelta, now: datetime
+) -> None:
     """Note when an entry was provably alive, by this sidecar's own clock."""
     proven = min(state.origin + heard, now)
     known = state.heard.get(sender)
     state.heard[sender] = max(known, proven) if known else proven
 
 
-def _tell_or_refuse(state: GuardState, run: RunId, sender: str) -> list[Effect]:
+def _tell_or_refuse(state: SupervisorState, run: RunId, sender: str) -> list[Effect]:
     known = _tell_known(state, run, sender)
     if known is not None:
         return known
     return _refuse(state, run, sender, EndReason.NEVER_SEEN)
 
 
-def _tell_known(state: GuardState, run: RunId, sender: str) -> list[Effect] | None:
+def _tell_known(state: SupervisorState, run: RunId, sender: str) -> list[Effect] | None:
     """Tell the end of a run that this entry placed; None for one that it did not.
 
     Of a run that has not ended there is nothing to tell yet.
@@ -104,7 +108,7 @@
     return None
 
 
-def _cannot_take(state: GuardState, message: PlaceRun) -> EndReason | None:
+def _cannot_take(state: SupervisorState, message: PlaceRun) -> EndReason | None:
     """Return why this run can't wait here, or None."""
     if state.draining is not None:
         return EndReason.SIDECAR_STOPPING
@@ -118,22 +122,22 @@
     # would refuse it, and two runs could not be told apart here.
     if message.run.number <= state.highest.get(message.run.task, 0):
         return EndReason.NUMBER_TOO_LOW
-    if guard_report.is_failing(state) and state.runs:
+    if supervisor_report.is_failing(state) and state.runs:
         return EndReason.WORKER_UNHEALTHY
     return None
 
 
 def _refuse(
-    state: GuardState, run: RunId, sender: str, reason: EndReason
+    state: SupervisorState, run: RunId, sender: str, reason: EndReason
 ) -> list[Effect]:
     """Never start this run, and say so."""
     highest = state.highest.get(run.task, 0)
     ended = RunEnded(run, RunEnd.NOT_RUN, reason, None, highest)
     keep_end(state, sender, ended)
-    return [Count(reason), Send(sender, ended), guard_ends.log_end(ended, sender)]
+    return [Count(reason), Send(sender, ended), supervisor_ends.log_end(ended, sender)]
 
 
-def _send_back(state: GuardState, run: RunId, now: datetime) -> list[Effect]:
+def _send_back(state: SupervisorState, run: RunId, now: datetime) -> list[Effect]:
     """Refuse a run that found no room, with a fresh report.
 
     Its entry did not know of what the others placed here a moment ago. Waiting here,
@@ -144,12 +148,14 @@
         return []
     if _has_older_run(state, guarded):
         return []
-    report = guard_report.report_to(state, guarded.coordinator, now)
-    refused = guard_orders.end_run_early(state, guarded, EndReason.ROOM_TAKEN, now)
+    report = supervisor_report.report_to(state, guarded.coordinator, now)
+    refused = supervisor_commands.end_run_early(
+        state, guarded, EndReason.ROOM_TAKEN, now
+    )
     return [*report, *refused]
 
 
-def _has_older_run(state: GuardState, guarded: GuardedRun) -> bool:
+def _has_older_run(state: SupervisorState, guarded: SupervisedRun) -> bool:
     return any(
         other.run.task == guarded.run.task and other is not guarded
         for other in state.runs.values()
@@ -157,7 +163,7 @@
 
 
 def _end_older_runs(
-    state: GuardState, run: RunId, sender: str, now: datetime
+    state: SupervisorState, run: RunId, sender: str, now: datetime
 ) -> list[Effect]:
     """End other runs of the same task.
 
@@ -174,5 +180,7 @@
         if guarded.run.task == run.task and (guarded.run, guarded.coordinator) != key
     ]
     for guarded in older:
-        effects += guard_orders.end_run_early(state, guarded, EndReason.SUPERSEDED, now)
+        effects += supervisor_commands.end_run_early(
+            state, guarded, EndReason.SUPERSEDED, now
+        )
     return effects
--- a/gypsumspoke/runs/guard_waiting.py
+++ b/gypsumspoke/runs/supervisor_queue.py
@@ -7,16 +7,16 @@
 from datetime import datetime
 
 from gypsumspoke.core.effects import Effect
-from gypsumspoke.runs import guard_orders, guard_report
-from gypsumspoke.runs.guard_lease import may_start, may_start_run
-from gypsumspoke.runs.guard_state import GuardedRun, GuardState, Phase
+from gypsumspoke.runs import supervisor_commands, supervisor_report
+from gypsumspoke.runs.supervisor_lease import may_start, may_start_run
+from gypsumspoke.runs.supervisor_state import Phase, SupervisedRun, SupervisorState
 from gypsumspoke.runs.values import EndReason, fits, subtract
 
 
-def start_waiting(state: GuardState, now: datetime) -> list[Effect]:
+def start_waiting(state: SupervisorState, now: datetime) -> list[Effect]:
     """Start what fits, by priority and arrival; nothing overtakes what waits."""
     effects = _drop_overdue(state, now)
-    if not guard_report.can_start(state, now):
+    if not supervisor_report.can_start(state, now):
         return effects
     queue = waiting(state)
     if not queue or not may_start(state, now):
@@ -36,29 +36,31 @@
             break
         free = subtract(free, guarded.room)
         busy.add(guarded.run.task)
-        effects += guard_orders.start_run(state, guarded, now)
+        effects += supervisor_commands.start_run(state, guarded, now)
     return effects
 
 
-def waiting(state: GuardState) -> list[GuardedRun]:
+def waiting(state: SupervisorState) -> list[SupervisedRun]:
     """Return the waiting runs, the next one first."""
     found = [run for run in state.runs.values() if run.phase is Phase.WAITING]
     found.sort(key=lambda guarded: (guarded.priority, guarded.order))
     return found
 
 
-def _drop_overdue(state: GuardState, now: datetime) -> list[Effect]:
+def _drop_overdue(state: SupervisorState, now: datetime) -> list[Effect]:
     effects: list[Effect] = []
     for guarded in list(state.runs.values()):
         if guarded.phase is Phase.WAITING and guarded.start_by < now:
-            effects += guard_orders.end_run_early(
+            effects += supervisor_commands.end_run_early(
                 state, guarded, EndReason.DEADLINE_PASSED, now
             )
     return effects
 
 
-def refuse_waiting(state: GuardState, reason: EndReason, now: datetime) -> list[Effect]:
+def refuse_waiting(
+    state: SupervisorState, reason: EndReason, now: datetime
+) -> list[Effect]:
     effects: list[Effect] = []
     for guarded in waiting(state):
-        effects += guard_orders.end_run_early(state, guarded, reason, now)
+        effects += supervisor_commands.end_run_early(state, guarded, reason, now)
     return effects
--- a/gypsumspoke/runs/guard_holds.py
+++ b/gypsumspoke/runs/supervisor_renewals.py
@@ -3,29 +3,29 @@
 from datetime import datetime, timedelta
 
 from gypsumspoke.core.effects import Effect
-from gypsumspoke.runs.guard_ends import finish, note_failure
-from gypsumspoke.runs.guard_lease import name_lease_end, note_withheld
-from gypsumspoke.runs.guard_life import (
+from gypsumspoke.runs.supervisor_commands import end_run_early, give_up_start
+from gypsumspoke.runs.supervisor_ends import finish, note_failure
+from gypsumspoke.runs.supervisor_incarnation import (
     is_of_this_life,
     note_clock,
     outbid_token,
     raise_token,
     take_life,
 )
-from gypsumspoke.runs.guard_orders import end_run_early, give_up_start
-from gypsumspoke.runs.guard_orphans import stop_orphans
-from gypsumspoke.runs.guard_state import GuardedRun, GuardState, Phase
-from gypsumspoke.runs.orders import (
+from gypsumspoke.runs.supervisor_lease import name_lease_end, note_withheld
+from gypsumspoke.runs.supervisor_orphans import stop_orphans
+from gypsumspoke.runs.supervisor_state import Phase, SupervisedRun, SupervisorState
+from gypsumspoke.runs.values import EndReason, RunEnd
+from gypsumspoke.runs.worker_commands import (
+    CommandResult,
     EndedRun,
-    HoldAnswered,
-    HoldFailed,
-    HoldOrder,
-    OrderResult,
+    RenewalAnswered,
+    RenewalFailed,
+    RenewCommand,
 )
-from gypsumspoke.runs.values import EndReason, RunEnd
 
 # A hold is answered or given up by the shell within its wait and this long at most.
-HOLD_ANSWER_WITHIN = timedelta(milliseconds=120)
+COMMAND_TIMEOUT = timedelta(milliseconds=120)
 # A run without progress for this long, or this share of its estimate, stands still. A
 # sound worker shows progress with each hold; one that is eight times slower still shows
 # a percent in a twelfth of the estimate.
@@ -35,7 +35,7 @@
 STALL_LISTS = 2
 
 
-def next_hold(state: GuardState, now: datetime) -> list[Effect]:
+def next_hold(state: SupervisorState, now: datetime) -> list[Effect]:
     """Ask the worker again unless an answer is awaited.
 
     While the worker leaves holds unanswered, they no longer extend the lease: its runs
@@ -45,14 +45,14 @@
     """
     interval = state.budget.renewal_interval
     if state.hold_sent is not None:
-        overdue = state.hold_sent + interval + 2 * HOLD_ANSWER_WITHIN
+        overdue = state.hold_sent + interval + 2 * COMMAND_TIMEOUT
         if now < overdue:
             return []
     state.hold_sent = now
     state.hold_number += 1
     lease_end = name_lease_end(state, now) if _may_extend(state, now) else None
     wait = interval if state.is_fenced else timedelta()
-    hold = HoldOrder(
+    hold = RenewCommand(
         state.worker_id,
         lease_end,
         state.last_seen,
@@ -63,7 +63,7 @@
     return [hold, *note_withheld(state, now)]
 
 
-def _may_extend(state: GuardState, now: datetime) -> bool:
+def _may_extend(state: SupervisorState, now: datetime) -> bool:
     if state.token == 0 or state.lease.clock is None:
         return False
     if state.heard_worker is None:
@@ -75,7 +75,7 @@
 
 
 def take_failed_hold(
-    state: GuardState, event: HoldFailed, now: datetime
+    state: SupervisorState, event: RenewalFailed, now: datetime
 ) -> list[Effect]:
     """Take a hold without a list.
 
@@ -86,17 +86,17 @@
     """
     note_clock(state, event.clock, now)
     token = state.token
-    if event.result is OrderResult.FENCED:
+    if event.result is CommandResult.FENCED:
         outbid_token(state, event.token, now)
     if event.is_extra:
         return _give_up_starts(state, now, now)
     _note_answered(state, event.number)
-    if event.result is OrderResult.UNANSWERED or state.token > token:
+    if event.result is CommandResult.UNANSWERED or state.token > token:
         return next_hold(state, now)
     return []
 
 
-def _note_answered(state: GuardState, number: int) -> None:
+def _note_answered(state: SupervisorState, number: int) -> None:
     """Note that the hold under way is over, if it was that one.
 
     After a pause of this process the answer to an earlier one may follow. Taken for
@@ -106,7 +106,9 @@
         state.hold_sent = None
 
 
-def take_hold(state: GuardState, event: HoldAnswered, now: datetime) -> list[Effect]:
+def take_hold(
+    state: SupervisorState, event: RenewalAnswered, now: datetime
+) -> list[Effect]:
     """Take the worker's list of what runs and what ended."""
     if not event.is_extra:
         _note_answered(state, event.number)
@@ -132,7 +134,7 @@
     return [*effects, *stop_orphans(state, event, is_first)]
 
 
-def _take_end(state: GuardState, ended: EndedRun, now: datetime) -> list[Effect]:
+def _take_end(state: SupervisorState, ended: EndedRun, now: datetime) -> list[Effect]:
     if ended.number <= state.last_seen:
         return []
     state.last_seen = ended.number
@@ -142,7 +144,7 @@
     return finish(state, guarded, ended.end, _reason(guarded, ended), now)
 
 
-def _reason(guarded: GuardedRun, ended: EndedRun) -> EndReason:
+def _reason(guarded: SupervisedRun, ended: EndedRun) -> EndReason:
     if ended.end is RunEnd.DONE:
         return EndReason.COMPLETED
     if ended.end is RunEnd.FAILED:
@@ -154,7 +156,9 @@
     return EndReason.STOPPED_BY_WORKER
 
 
-def _note_progress(state: GuardState, event: HoldAnswered, now: datetime) -> None:
+def _note_progress(
+    state: SupervisorState, event: RenewalAnswered, now: datetime
+) -> None:
     for listed in event.running:
         guarded = state.runs.get(listed.run)
         if guarded is None:
@@ -177,7 +181,9 @@
             guarded.lists_since = 0
 
 
-def _give_up_starts(state: GuardState, asked: datetime, now: datetime) -> list[Effect]:
+def _give_up_starts(
+    state: SupervisorState, asked: datetime, now: datetime
+) -> list[Effect]:
     """Stop runs in doubt that a list, asked for after the doubt, does not show."""
     effects: list[Effect] = []
     for guarded in list(state.runs.values()):
@@ -188,7 +194,7 @@
 
 
 def _take_unlisted(
-    state: GuardState, event: HoldAnswered, now: datetime
+    state: SupervisorState, event: RenewalAnswered, now: datetime
 ) -> list[Effect]:
     """End runs that the worker neither runs nor lists as ended.
 
@@ -208,7 +214,7 @@
     return effects
 
 
-def _never_ran(guarded: GuardedRun) -> bool:
+def _never_ran(guarded: SupervisedRun) -> bool:
     """Return whether a stopped run without a listed end was certainly not started.
 
     An earlier life of the worker may have started it; the next one knows nothing of it.
@@ -216,14 +222,16 @@
     return guarded.in_doubt and not guarded.outlived
 
 
-def _is_after_start(event: HoldAnswered, guarded: GuardedRun) -> bool:
+def _is_after_start(event: RenewalAnswered, guarded: SupervisedRun) -> bool:
     if guarded.start_clock is None:
         # Started on a life that has ended, or on the next one before it showed.
         return guarded.started < event.sent
     return event.clock > guarded.start_clock
 
 
-def _is_after_stop(state: GuardState, event: HoldAnswered, guarded: GuardedRun) -> bool:
+def _is_after_stop(
+    state: SupervisorState, event: RenewalAnswered, guarded: SupervisedRun
+) -> bool:
     """Return whether a stopped run that no list shows is gone for certain.
 
     While it is being stopped a run is at work and in neither list. Taken for gone at
@@ -231,10 +239,10 @@
     """
     if guarded.stop_clock is None:
         return False
-    return event.clock > guarded.stop_clock + state.budget.stop_shows_after
+    return event.clock > guarded.stop_clock + state.budget.stop_settle_time
 
 
-def _stop_stalled(state: GuardState, now: datetime) -> list[Effect]:
+def _stop_stalled(state: SupervisorState, now: datetime) -> list[Effect]:
     """Stop runs that make no progress, so that they are placed elsewhere.
 
     Called with each list, and at no other time: while lists fail to come, nothing is
@@ -251,7 +259,7 @@
     return effects
 
 
-def check_lease(state: GuardState, now: datetime) -> list[Effect]:
+def check_lease(state: SupervisorState, now: datetime) -> list[Effect]:
     """Give up the runs of a worker whose lease has certainly ended them."""
     if now <= state.lease.ends_by + state.budget.bounds.stop:
         return []
--- a/gypsumspoke/runs/guard_report.py
+++ b/gypsumspoke/runs/supervisor_report.py
@@ -4,13 +4,13 @@
 from statistics import geometric_mean
 
 from gypsumspoke.core.effects import Effect, Send
-from gypsumspoke.runs.guard_state import GuardState, Told
 from gypsumspoke.runs.messages import WorkerReport
+from gypsumspoke.runs.supervisor_state import LastReport, SupervisorState
 from gypsumspoke.runs.values import NO_ROOM, WorkerReady, subtract
 
 # A changed room is reported this often at most: each report costs an entry processor
 # time, and a busy worker's room changes with each start and end.
-CHANGE_INTERVAL = timedelta(milliseconds=20)
+CHANGE_REPORT_INTERVAL = timedelta(milliseconds=20)
 # With more entries than this each of them hears of changes less often, so that what
 # a sidecar sends does not grow with the entries, nor what an entry takes.
 ENTRIES_AT_FULL_RATE = 4
@@ -24,7 +24,7 @@
 FAILING_SHARE = 0.5
 
 
-def can_start(state: GuardState, now: datetime) -> bool:
+def can_start(state: SupervisorState, now: datetime) -> bool:
     """Return whether the worker may be told to start something now."""
     return (
         state.worker is not None
@@ -39,33 +39,33 @@
     )
 
 
-def is_answering(state: GuardState, now: datetime) -> bool:
+def is_answering(state: SupervisorState, now: datetime) -> bool:
     """Return whether the worker answered a hold a moment ago."""
     if state.heard_worker is None:
         return False
     return now - state.heard_worker < state.budget.worker_silence
 
 
-def is_failing(state: GuardState) -> bool:
+def is_failing(state: SupervisorState) -> bool:
     """Return whether the worker fails most of what it starts."""
     return state.failing > FAILING_SHARE
 
 
-def may_probe(state: GuardState, now: datetime) -> bool:
+def may_probe(state: SupervisorState, now: datetime) -> bool:
     """Return whether a worker that fails may be tried again; True for a sound one."""
     if not is_failing(state):
         return True
     return state.next_probe is None or now >= state.next_probe
 
 
-def takes_work(state: GuardState, now: datetime) -> bool:
+def takes_work(state: SupervisorState, now: datetime) -> bool:
     """Return whether entries may place runs here."""
     if is_failing(state) and state.runs:
         return False
     return can_start(state, now)
 
 
-def report_to(state: GuardState, peer: str, now: datetime) -> list[Effect]:
+def report_to(state: SupervisorState, peer: str, now: datetime) -> list[Effect]:
     """Return the report for one entry."""
     worker = state.worker
     capacity = worker.capacity if worker else NO_ROOM
@@ -82,11 +82,11 @@
         failing=is_failing(state),
         taken=state.taken.get(peer, 0),
     )
-    state.told[peer] = Told(now, state.held, message.takes_work)
+    state.told[peer] = LastReport(now, state.held, message.takes_work)
     return [Send(peer, message)]
 
 
-def current_pace(state: GuardState) -> float:
+def current_pace(state: SupervisorState) -> float:
     """Return run time over estimate, as the worker is now.
 
     The smoothed pace of ends follows a worker that turns slow only after ten ends,
@@ -105,7 +105,7 @@
     return shown if is_clear else state.pace
 
 
-def report_regularly(state: GuardState, now: datetime) -> list[Effect]:
+def report_regularly(state: SupervisorState, now: datetime) -> list[Effect]:
     """Return reports for all entries but those that were told a moment ago.
 
     Left out of every second tick at most, a report is never older than a tick and a
@@ -120,7 +120,7 @@
     return effects
 
 
-def report_changes(state: GuardState, now: datetime) -> list[Effect]:
+def report_changes(state: SupervisorState, now: datetime) -> list[Effect]:
     """Return reports for the entries that know an old figure of the room.
 
     That the worker takes work now, or no longer, is told at once: after a loss of all
@@ -131,7 +131,9 @@
     while others have room, and get it back a tick later.
     """
     effects: list[Effect] = []
-    interval = CHANGE_INTERVAL * max(1.0, len(state.peers) / ENTRIES_AT_FULL_RATE)
+    interval = CHANGE_REPORT_INTERVAL * max(
+        1.0, len(state.peers) / ENTRIES_AT_FULL_RATE
+    )
     takes_work_now = takes_work(state, now)
     for peer in sorted(state.peers):
         told = state.told.get(peer)
--- a/gypsumspoke/runs/guard_state.py
+++ b/gypsumspoke/runs/supervisor_state.py
@@ -45,7 +45,7 @@
     ends_by: datetime
 
 
-class Told(NamedTuple):
+class LastReport(NamedTuple):
     """The latest report to an entry: when, what was taken, and whether work is."""
 
     at: datetime
@@ -53,7 +53,7 @@
     takes_work: bool
 
 
-class GuardedRun:
+class SupervisedRun:
     """One run placed on this sidecar.
 
     Attributes:
@@ -115,7 +115,7 @@
         self.doubted: datetime | None = None
 
 
-class GuardState:
+class SupervisorState:
     """State of the guard; changed only by ``guard.reduce``.
 
     Attributes:
@@ -182,13 +182,13 @@
         self.orphans: dict[RunId, timedelta | None] = {}
         self.list_clock = timedelta()
         self.quiet_from: timedelta | None = None
-        self.runs: OrderedDict[RunId, GuardedRun] = OrderedDict()
+        self.runs: OrderedDict[RunId, SupervisedRun] = OrderedDict()
         self.held = NO_ROOM
         self.ended: OrderedDict[tuple[str, RunId], RunEnded] = OrderedDict()
         self.heard: dict[str, datetime] = {}
         self.taken: dict[str, int] = {}
         self.peers: set[str] = set()
-        self.told: dict[str, Told] = {}
+        self.told: dict[str, LastReport] = {}
         self.highest: OrderedDict[TaskId, int] = OrderedDict()
         self.pace = 0.0
         self.failing = 0.0
@@ -211,19 +211,19 @@
         return self.worker.id if self.worker else ""
 
 
-def hold_room(state: GuardState, guarded: GuardedRun) -> None:
+def hold_room(state: SupervisorState, guarded: SupervisedRun) -> None:
     """Count a run's room as taken, from just before its start is sent."""
     state.held = add(state.held, guarded.room)
 
 
-def keep_end(state: GuardState, coordinator: str, ended: RunEnded) -> None:
+def keep_end(state: SupervisorState, coordinator: str, ended: RunEnded) -> None:
     """Keep an end to tell it again, within the bound."""
     state.ended[coordinator, ended.run] = ended
     if len(state.ended) > KEPT_ENDS:
         state.ended.popitem(last=False)
 
 
-def note_highest(state: GuardState, run: RunId) -> None:
+def note_highest(state: SupervisorState, run: RunId) -> None:
     """Remember the highest run number of a task, within the bound."""
     known = state.highest.get(run.task, 0)
     state.highest[run.task] = max(known, run.number)
--- a/gypsumspoke/runs/guard_stop.py
+++ b/gypsumspoke/runs/supervisor_stop.py
@@ -5,9 +5,9 @@
 
 from gypsumspoke.core.effects import Effect, Exit, Log
 from gypsumspoke.core.events import Drain
-from gypsumspoke.runs import guard_orders, guard_report
-from gypsumspoke.runs.guard_state import GuardState
-from gypsumspoke.runs.guard_waiting import refuse_waiting
+from gypsumspoke.runs import supervisor_commands, supervisor_report
+from gypsumspoke.runs.supervisor_queue import refuse_waiting
+from gypsumspoke.runs.supervisor_state import SupervisorState
 from gypsumspoke.runs.values import EndReason
 
 # A stopping sidecar ends what still runs this long after the signal; the platform kills
@@ -15,7 +15,7 @@
 DRAIN_PATIENCE = timedelta(seconds=4.5)
 
 
-def begin_stop(event: Drain, state: GuardState, now: datetime) -> list[Effect]:
+def begin_stop(event: Drain, state: SupervisorState, now: datetime) -> list[Effect]:
     """Begin the graceful stop, once."""
     if state.draining is not None:
         return []
@@ -23,11 +23,11 @@
     log = Log(logging.INFO, "stopping", fields=(("runs", len(state.runs)),))
     effects = [log, *refuse_waiting(state, EndReason.SIDECAR_STOPPING, now)]
     for peer in sorted(state.peers):
-        effects += guard_report.report_to(state, peer, now)
+        effects += supervisor_report.report_to(state, peer, now)
     return effects
 
 
-def continue_stop(state: GuardState, now: datetime) -> list[Effect]:
+def continue_stop(state: SupervisorState, now: datetime) -> list[Effect]:
     """End the process when nothing runs any more; stop what still does in the end."""
     if state.draining is None or state.left:
         return []
@@ -38,7 +38,7 @@
         return []
     effects: list[Effect] = []
     for guarded in list(state.runs.values()):
-        effects += guard_orders.end_run_early(
+        effects += supervisor_commands.end_run_early(
             state, guarded, EndReason.SIDECAR_STOPPING, now
         )
     return effects
--- a/gypsumspoke/runs/orders.py
+++ b/gypsumspoke/runs/worker_commands.py
@@ -11,7 +11,7 @@
 from gypsumspoke.runs.values import Registration, RunEnd, RunId
 
 
-class StartOrder(NamedTuple):
+class StartCommand(NamedTuple):
     """Effect: tell the worker to start a run; answered by OrderAnswered.
 
     Attributes:
@@ -29,7 +29,7 @@
     token: int
 
 
-class StopOrder(NamedTuple):
+class StopCommand(NamedTuple):
     """Effect: tell the worker to stop a run, and never to start it."""
 
     run: RunId
@@ -37,7 +37,7 @@
     token: int
 
 
-class HoldOrder(NamedTuple):
+class RenewCommand(NamedTuple):
     """Effect: extend the lease and read what runs and what ended.
 
     Attributes:
@@ -60,14 +60,14 @@
     number: int = 0
 
 
-class OrderKind(Enum):
+class CommandKind(Enum):
     """Which order was answered."""
 
     START = "start"
     STOP = "stop"
 
 
-class OrderResult(Enum):
+class CommandResult(Enum):
     """What the worker said. All but ACCEPTED and UNANSWERED: nothing was done."""
 
     ACCEPTED = "accepted"
@@ -82,7 +82,7 @@
     UNANSWERED = "unanswered"
 
 
-class OrderAnswered(NamedTuple):
+class CommandAnswered(NamedTuple):
     """Event: the end of a StartOrder or StopOrder.
 
     Attributes:
@@ -92,9 +92,9 @@
       sent: when the order was sent, by the sidecar's clock.
     """
 
-    kind: OrderKind
+    kind: CommandKind
     run: RunId
-    result: OrderResult
+    result: CommandResult
     clock: timedelta | None = None
     sent: datetime | None = None
 
@@ -115,7 +115,7 @@
     lapsed: bool
 
 
-class HoldAnswered(NamedTuple):
+class RenewalAnswered(NamedTuple):
     """Event: the worker's answer to a HoldOrder.
 
     Attributes:
@@ -137,7 +137,7 @@
     number: int = 0
 
 
-class HoldFailed(NamedTuple):
+class RenewalFailed(NamedTuple):
     """Event: a HoldOrder got no usable answer.
 
     Attributes:
@@ -146,7 +146,7 @@
       is_extra, token, number: as in the order.
     """
 
-    result: OrderResult
+    result: CommandResult
     clock: timedelta | None = None
     is_extra: bool = False
     token: int = 0
--- a/gypsumspoke/shell/run_sidecar.py
+++ b/gypsumspoke/shell/run_sidecar.py
@@ -6,12 +6,12 @@
 from typing import Any, NamedTuple
 
 from gypsumspoke.core.clock import Clock
-from gypsumspoke.runs import guard
+from gypsumspoke.runs import supervisor
 from gypsumspoke.runs.directory import Directory
-from gypsumspoke.runs.guard_report import can_start
-from gypsumspoke.runs.guard_state import GuardState
-from gypsumspoke.runs.orders import HoldOrder, StartOrder, StopOrder
 from gypsumspoke.runs.settings import RunSettings
+from gypsumspoke.runs.supervisor_report import can_start
+from gypsumspoke.runs.supervisor_state import SupervisorState
+from gypsumspoke.runs.worker_commands import RenewCommand, StartCommand, StopCommand
 from gypsumspoke.shell.early_listeners import EarlyListeners
 from gypsumspoke.shell.http_servers import open_metrics, open_small_server
 from gypsumspoke.shell.run_role import (
@@ -62,19 +62,19 @@
     """
     with ExitStack() as stack:
         side = open_run_side(settings, "sidecar", clock, listeners, stack)
-        state = GuardState(
+        state = SupervisorState(
             settings.service,
             Directory("", settings.known_entries),
             clock.now(),
             settings.budget,
         )
-        runtime = open_runtime(settings, side, guard.reduce, state, clock)
+        runtime = open_runtime(settings, side, supervisor.reduce, state, clock)
         worker = stack.enter_context(
             closing(adapter.open_worker(settings.worker, runtime.post, clock))
         )
-        runtime.handle(StartOrder, worker.start)
-        runtime.handle(StopOrder, worker.stop)
-        runtime.handle(HoldOrder, worker.hold)
+        runtime.handle(StartCommand, worker.start)
+        runtime.handle(StopCommand, worker.stop)
+        runtime.handle(RenewCommand, worker.hold)
         is_ready = partial(_is_ready, state, clock)
         open_metrics(settings.metrics, side.metrics, is_ready, stack)
         registration = adapter.registration(runtime.post)
@@ -85,5 +85,5 @@
         )
 
 
-def _is_ready(state: GuardState, clock: Clock) -> bool:
+def _is_ready(state: SupervisorState, clock: Clock) -> bool:
     return can_start(state, clock.now())
--- a/tests/platform/test_decoding.py
+++ b/tests/platform/test_decoding.py
@@ -175,7 +175,7 @@
     tight = read_settings(path).unwrap().budget
     assert tight.tick < usual.tick
     assert tight.lease == timedelta(milliseconds=250)
-    assert tight.runs_dead_after + tight.tick <= timedelta(milliseconds=700)
+    assert tight.run_expiry + tight.tick <= timedelta(milliseconds=700)
 
 
 def test_a_deployment_whose_callers_come_back_too_early_is_refused(tmp_path):
--- a/tests/runs/lone_sidecar.py
+++ b/tests/runs/lone_sidecar.py
@@ -4,16 +4,16 @@
 from typing import Any
 
 from gypsumspoke.core.effects import Effect
-from gypsumspoke.runs import guard
+from gypsumspoke.runs import supervisor
 from gypsumspoke.runs.directory import Directory
-from gypsumspoke.runs.guard_state import GuardState
-from gypsumspoke.runs.orders import (
+from gypsumspoke.runs.supervisor_state import SupervisorState
+from gypsumspoke.runs.values import Registration, RunId, WorkerReady
+from gypsumspoke.runs.worker_commands import (
     EndedRun,
     HeartbeatArrived,
-    HoldAnswered,
+    RenewalAnswered,
     RunningRun,
 )
-from gypsumspoke.runs.values import Registration, RunId, WorkerReady
 from tests.runs.world import CAPACITY, SERVICE, START
 
 LIFE = 7
@@ -33,14 +33,14 @@
       state: its state; made for one whose worker has registered unless given.
     """
 
-    def __init__(self, state: GuardState | None = None) -> None:
-        self.state = state or GuardState(SERVICE, Directory("", ()), START)
+    def __init__(self, state: SupervisorState | None = None) -> None:
+        self.state = state or SupervisorState(SERVICE, Directory("", ()), START)
         if state is None:
             self.take(timedelta(), HeartbeatArrived(registration()))
 
     def take(self, at: timedelta, event: Any) -> list[Effect]:
         """Take an event at a time since the start."""
-        return guard.reduce(self.state, event, START + at)
+        return supervisor.reduce(self.state, event, START + at)
 
     def take_list(
         self,
@@ -65,5 +65,6 @@
         number = self.state.hold_number if number is None else number
         ends = tuple(ended)
         return self.take(
-            at, HoldAnswered(sent, clock, life, listed, ends, is_extra, token, number)
+            at,
+            RenewalAnswered(sent, clock, life, listed, ends, is_extra, token, number),
         )
--- a/tests/runs/test_behind.py
+++ b/tests/runs/test_behind.py
@@ -176,7 +176,7 @@
     world = World(entries=1, sidecars=2)
     world.run(ms(1510))
     entry = world.processes[ENTRY]
-    late = world.now + world.budget.order_fresh
+    late = world.now + world.budget.max_placement_age
     event = JobArrived("r1", job("j1"), ROUTE, late + ms(5000))
     arrival = Arrival(world.now, world.now, world.now)
     effects = entry.reduce(entry.state, Timed(arrival, event), late)
--- a/tests/runs/test_budget.py
+++ b/tests/runs/test_budget.py
@@ -8,7 +8,7 @@
 
 from gypsumspoke.runs.budget import (
     DEFAULT_BOUNDS,
-    LONGEST_TICK,
+    MAX_TICK,
     Bounds,
     budget_for,
 )
@@ -22,20 +22,20 @@
 durations = st.integers(1, 5000).map(ms)
 
 
-@given(resend=durations, stop=durations, longest_lease=durations)
-def test_old_runs_are_gone_before_a_caller_comes_back(resend, stop, longest_lease):
+@given(resend=durations, stop=durations, max_lease=durations)
+def test_old_runs_are_gone_before_a_caller_comes_back(resend, stop, max_lease):
     """Whatever the bounds: an entry is lost at 0, its sidecar freezes just before the
     tick that finds it silent, and the worker's clock is slow. Either the runs end
     before the caller's next copy, or no process starts.
     """
-    made = budget_for(Bounds(resend, stop, longest_lease))
+    made = budget_for(Bounds(resend, stop, max_lease))
     if not is_successful(made):
         assert resend < ms(500) or stop > resend - ms(500)
         return
     budget = made.unwrap()
-    assert budget.runs_dead_after + budget.tick <= resend + timedelta(microseconds=50)
-    assert budget.lease <= longest_lease
-    assert budget.tick <= LONGEST_TICK
+    assert budget.run_expiry + budget.tick <= resend + timedelta(microseconds=50)
+    assert budget.lease <= max_lease
+    assert budget.tick <= MAX_TICK
 
 
 @given(resend=st.integers(400, 5000).map(ms))
--- a/tests/runs/test_faults.py
+++ b/tests/runs/test_faults.py
@@ -30,7 +30,7 @@
 
 
 def test_the_budget_ends_before_a_caller_sends_again():
-    assert DEFAULT_BUDGET.runs_dead_after < RESEND
+    assert DEFAULT_BUDGET.run_expiry < RESEND
 
 
 @pytest.mark.parametrize("lose", ["kill", "power_off"])
--- a/tests/runs/test_fencing.py
+++ b/tests/runs/test_fencing.py
@@ -1,7 +1,7 @@
 """Fencing tokens over the lives of a worker and the processes of its sidecar."""
 
-from gypsumspoke.runs.orders import HoldOrder
 from gypsumspoke.runs.values import JobEnd
+from gypsumspoke.runs.worker_commands import RenewCommand
 from tests.runs.lone_sidecar import LIFE, LoneSidecar
 from tests.runs.test_orphans import is_clean
 from tests.runs.test_path import settled
@@ -56,6 +56,6 @@
     sidecar.take_list(ms(3), asked=ms(1), made=ms(2))
     before = sidecar.state.token
     effects = sidecar.take_list(ms(50), asked=ms(40), made=ms(4), life=LIFE + 1)
-    (hold,) = [effect for effect in effects if isinstance(effect, HoldOrder)]
+    (hold,) = [effect for effect in effects if isinstance(effect, RenewCommand)]
     assert hold.token > before
     assert not is_clean(sidecar, ms(51))
--- a/tests/runs/test_lives.py
+++ b/tests/runs/test_incarnations.py
@@ -6,19 +6,19 @@
 from gypsumspoke.core.events import PeerConnected, Received, Tick
 from gypsumspoke.runs.budget import DEFAULT_BOUNDS, DEFAULT_BUDGET, budget_for
 from gypsumspoke.runs.directory import Directory
-from gypsumspoke.runs.guard_orders import STOP_AGAIN
-from gypsumspoke.runs.guard_state import GuardState
 from gypsumspoke.runs.messages import PlaceRun, Pulse, RunEnded, WithdrawRun
-from gypsumspoke.runs.orders import (
+from gypsumspoke.runs.supervisor_commands import STOP_RETRY_INTERVAL
+from gypsumspoke.runs.supervisor_state import SupervisorState
+from gypsumspoke.runs.values import RunEnd, RunId, TaskId
+from gypsumspoke.runs.worker_commands import (
+    CommandAnswered,
+    CommandKind,
+    CommandResult,
     HeartbeatArrived,
-    HoldOrder,
-    OrderAnswered,
-    OrderKind,
-    OrderResult,
-    StartOrder,
-    StopOrder,
+    RenewCommand,
+    StartCommand,
+    StopCommand,
 )
-from gypsumspoke.runs.values import RunEnd, RunId, TaskId
 from tests.runs.lone_sidecar import LIFE, LoneSidecar, registration
 from tests.runs.test_orphans import is_clean
 from tests.runs.world import SERVICE, START, TASK_ROOM, TASK_TIME, ms
@@ -41,9 +41,9 @@
     return sidecar
 
 
-def late_answer(kind: OrderKind) -> OrderAnswered:
+def late_answer(kind: CommandKind) -> CommandAnswered:
     sent = START + ms(200)
-    return OrderAnswered(kind, RUN, OrderResult.ACCEPTED, OLD_CLOCK, sent)
+    return CommandAnswered(kind, RUN, CommandResult.ACCEPTED, OLD_CLOCK, sent)
 
 
 def test_a_stop_that_the_earlier_life_accepted_is_sent_to_the_next():
@@ -51,16 +51,16 @@
     for as long as the earlier life had lasted.
     """
     sidecar = sidecar_whose_worker_was_born_again()
-    sidecar.take(ms(251), late_answer(OrderKind.STOP))
-    effects = sidecar.take(ms(251) + STOP_AGAIN, Tick())
-    assert StopOrder(RUN, "w-1", sidecar.state.token) in effects
+    sidecar.take(ms(251), late_answer(CommandKind.STOP))
+    effects = sidecar.take(ms(251) + STOP_RETRY_INTERVAL, Tick())
+    assert StopCommand(RUN, "w-1", sidecar.state.token) in effects
 
 
 def test_a_clock_of_the_earlier_life_does_not_lengthen_the_lease_of_the_next():
     sidecar = sidecar_whose_worker_was_born_again()
-    sidecar.take(ms(251), late_answer(OrderKind.START))
+    sidecar.take(ms(251), late_answer(CommandKind.START))
     effects = sidecar.take(ms(600), Tick())
-    (hold,) = [effect for effect in effects if isinstance(effect, HoldOrder)]
+    (hold,) = [effect for effect in effects if isinstance(effect, RenewCommand)]
     assert hold.lease_end <= NEW_CLOCK + ms(600 - 250) + DEFAULT_BUDGET.lease
 
 
@@ -71,19 +71,19 @@
     callers come back early, a run that starts there could outlive the time budget.
     """
     budget = budget_for(DEFAULT_BOUNDS._replace(resend=ms(resend))).unwrap()
-    state = GuardState(SERVICE, Directory("", ()), START, budget)
+    state = SupervisorState(SERVICE, Directory("", ()), START, budget)
     sidecar = LoneSidecar(state)
     sidecar.take(ms(0), HeartbeatArrived(registration()))
     sidecar.take_list(ms(3), asked=ms(1), made=OLD_CLOCK)
     sidecar.take_list(ms(50), asked=ms(40), made=NEW_CLOCK, life=LIFE + 1)
     started = []
-    for at in (ms(60), ms(50) + budget.longest_lease):
+    for at in (ms(60), ms(50) + budget.max_lease_on_slow_clock):
         sidecar.take(at, Received(ENTRY, Pulse(at)))
         sidecar.take_list(at, made=NEW_CLOCK + at, life=LIFE + 1)
         run = RunId(TaskId(f"j{len(started)}", 0, 0), 1)
         message = PlaceRun(at, run, TASK_ROOM, 1, TASK_TIME, ms(9000), "x")
         effects = sidecar.take(at, Received(ENTRY, message))
-        started.append(any(isinstance(effect, StartOrder) for effect in effects))
+        started.append(any(isinstance(effect, StartCommand) for effect in effects))
     assert started == [starts_at_once, True]
 
 
@@ -92,7 +92,7 @@
     heartbeat of the worker's earlier life, which a cut held up, is the first that it
     hears. It made the sidecar forget the run and call itself clean.
     """
-    state = GuardState(SERVICE, Directory("", ()), START)
+    state = SupervisorState(SERVICE, Directory("", ()), START)
     sidecar = LoneSidecar(state)
     sidecar.take_list(ms(3), asked=ms(1), made=ms(2), life=LIFE + 1, token=0)
     sidecar.take_list(ms(6), [RUN], asked=ms(4), made=ms(5), life=LIFE + 1)
@@ -111,11 +111,15 @@
     sidecar.take(ms(4), PeerConnected(ENTRY))
     message = PlaceRun(ms(100), RUN, TASK_ROOM, 1, TASK_TIME, ms(9000), "x")
     sidecar.take(ms(100), Received(ENTRY, message))
-    unanswered = OrderAnswered(OrderKind.START, RUN, OrderResult.UNANSWERED)
+    unanswered = CommandAnswered(CommandKind.START, RUN, CommandResult.UNANSWERED)
     sidecar.take(ms(200), unanswered)
     sidecar.take_list(ms(212), asked=ms(211), made=NEW_CLOCK, life=LIFE + 1)
-    stopped = OrderAnswered(
-        OrderKind.STOP, RUN, OrderResult.ACCEPTED, NEW_CLOCK + ms(3), START + ms(213)
+    stopped = CommandAnswered(
+        CommandKind.STOP,
+        RUN,
+        CommandResult.ACCEPTED,
+        NEW_CLOCK + ms(3),
+        START + ms(213),
     )
     sidecar.take(ms(216), stopped)
     effects = sidecar.take_list(ms(400), made=NEW_CLOCK + ms(180), life=LIFE + 1)
--- a/tests/runs/test_late_ends.py
+++ b/tests/runs/test_late_ends.py
@@ -6,8 +6,8 @@
 from gypsumspoke.core.events import Received
 from gypsumspoke.runs.budget import DEFAULT_BOUNDS
 from gypsumspoke.runs.messages import PlaceRun, WithdrawRun
-from gypsumspoke.runs.orders import StartOrder
 from gypsumspoke.runs.values import JobEnd, RunEnd, RunId, TaskId
+from gypsumspoke.runs.worker_commands import StartCommand
 from tests.runs.lone_sidecar import LoneSidecar
 from tests.runs.test_path import settled
 from tests.runs.world import TASK_ROOM, TASK_TIME, World, job, ms
@@ -96,4 +96,4 @@
     assert ended.end is RunEnd.NOT_RUN
     place = PlaceRun(ms(49), run, TASK_ROOM, 1, TASK_TIME, ms(9000), "x")
     effects = sidecar.take(ms(51), Received("entry-1", place))
-    assert not any(isinstance(effect, StartOrder) for effect in effects)
+    assert not any(isinstance(effect, StartCommand) for effect in effects)
--- a/tests/runs/test_lease.py
+++ b/tests/runs/test_lease.py
@@ -3,8 +3,13 @@
 from gypsumspoke.core.events import PeerConnected, Received, Tick
 from gypsumspoke.runs.budget import DEFAULT_BUDGET, WORKER_CLOCK_ERROR
 from gypsumspoke.runs.messages import PlaceRun, Pulse, RunEnded
-from gypsumspoke.runs.orders import OrderAnswered, OrderKind, OrderResult, StartOrder
 from gypsumspoke.runs.values import RunId, TaskId
+from gypsumspoke.runs.worker_commands import (
+    CommandAnswered,
+    CommandKind,
+    CommandResult,
+    StartCommand,
+)
 from tests.runs.lone_sidecar import LoneSidecar
 from tests.runs.test_lists import ends
 from tests.runs.world import TASK_ROOM, TASK_TIME, ms
@@ -14,13 +19,13 @@
 PLACED = ms(380)
 
 
-def place(sidecar: LoneSidecar) -> StartOrder:
+def place(sidecar: LoneSidecar) -> StartCommand:
     """Place a run 377 ms after the worker's latest answer; return its start."""
     sidecar.take_list(ms(3), asked=ms(1), made=ms(2))
     sidecar.take(ms(4), PeerConnected(ENTRY))
     message = PlaceRun(PLACED, RUN, TASK_ROOM, 1, TASK_TIME, ms(9000), "x")
     effects = sidecar.take(PLACED, Received(ENTRY, message))
-    (order,) = [effect for effect in effects if isinstance(effect, StartOrder)]
+    (order,) = [effect for effect in effects if isinstance(effect, StartCommand)]
     return order
 
 
@@ -36,10 +41,10 @@
     """
     sidecar = LoneSidecar()
     place(sidecar)
-    accepted = OrderAnswered(OrderKind.START, RUN, OrderResult.ACCEPTED, PLACED)
+    accepted = CommandAnswered(CommandKind.START, RUN, CommandResult.ACCEPTED, PLACED)
     sidecar.take(PLACED + ms(1), accepted)
     told: list[RunEnded] = []
-    dead = PLACED + DEFAULT_BUDGET.lease_at_most + DEFAULT_BUDGET.bounds.stop
+    dead = PLACED + DEFAULT_BUDGET.lease_on_slow_clock + DEFAULT_BUDGET.bounds.stop
     for at in (dead - ms(40), dead - ms(1)):
         sidecar.take(at, Received(ENTRY, Pulse(at)))
         told += ends(sidecar.take(at, Tick()))
--- a/tests/runs/test_lists.py
+++ b/tests/runs/test_lists.py
@@ -3,8 +3,13 @@
 from gypsumspoke.core.effects import Send
 from gypsumspoke.core.events import PeerConnected, Received
 from gypsumspoke.runs.messages import PlaceRun, RunEnded
-from gypsumspoke.runs.orders import OrderAnswered, OrderKind, OrderResult, StartOrder
 from gypsumspoke.runs.values import RunId, TaskId
+from gypsumspoke.runs.worker_commands import (
+    CommandAnswered,
+    CommandKind,
+    CommandResult,
+    StartCommand,
+)
 from tests.runs.lone_sidecar import LoneSidecar
 from tests.runs.world import TASK_ROOM, TASK_TIME, ms
 
@@ -19,7 +24,7 @@
     sidecar.take(ms(4), PeerConnected(ENTRY))
     place = PlaceRun(ms(100), RUN, TASK_ROOM, 1, TASK_TIME, ms(4000), "x")
     effects = sidecar.take(ms(100), Received(ENTRY, place))
-    assert any(isinstance(effect, StartOrder) for effect in effects)
+    assert any(isinstance(effect, StartCommand) for effect in effects)
     return sidecar
 
 
@@ -37,7 +42,7 @@
     shows the run. Taken at its word it ended the run, and the task ran twice at once.
     """
     sidecar = sidecar_that_starts_a_run()
-    unanswered = OrderAnswered(OrderKind.START, RUN, OrderResult.UNANSWERED)
+    unanswered = CommandAnswered(CommandKind.START, RUN, CommandResult.UNANSWERED)
     sidecar.take(ms(101), unanswered)
     sidecar.take_list(
         ms(104), running=[RUN], asked=ms(101), made=ms(103), is_extra=True
--- a/tests/runs/test_lost_stops.py
+++ b/tests/runs/test_lost_stops.py
@@ -9,7 +9,6 @@
 from gypsumspoke.core.events import Received
 from gypsumspoke.runs.budget import DEFAULT_BOUNDS, budget_for
 from gypsumspoke.runs.messages import PlaceRun
-from gypsumspoke.runs.orders import EndedRun, StartOrder
 from gypsumspoke.runs.values import (
     JobEnd,
     LeaseEvent,
@@ -18,6 +17,7 @@
     TaskId,
     WorkerReady,
 )
+from gypsumspoke.runs.worker_commands import EndedRun, StartCommand
 from tests.runs.lone_sidecar import LoneSidecar
 from tests.runs.test_path import settled
 from tests.runs.world import TASK_ROOM, TASK_TIME, World, job, ms
@@ -152,7 +152,7 @@
         sidecar.take(at, Received(entry, place))
     end = EndedRun(1, older, RunEnd.STOPPED, False)
     effects = sidecar.take_list(ms(1500), ended=[end], asked=ms(201), made=ms(1499))
-    assert not any(isinstance(effect, StartOrder) for effect in effects)
+    assert not any(isinstance(effect, StartCommand) for effect in effects)
 
 
 def test_an_unanswered_stop_that_holds_the_lease_back_is_logged_and_counted():
@@ -175,9 +175,9 @@
 def test_no_lease_outlives_what_an_entry_counts_on(budget, silences):
     """Whenever orders name the end of a lease, and however slow the worker's clock."""
     ends = [
-        silence + max(budget.on_slow_clock(budget.lease_left(silence)), timedelta())
+        silence + max(budget.on_slow_clock(budget.allowed_lease(silence)), timedelta())
         for silence in silences
-        if budget.lease_left(silence) > timedelta()
+        if budget.allowed_lease(silence) > timedelta()
     ]
-    assert max(ends, default=timedelta()) + budget.bounds.stop <= budget.runs_dead_after
-    assert budget.runs_dead_after + budget.tick <= budget.bounds.resend + ms(0.05)
+    assert max(ends, default=timedelta()) + budget.bounds.stop <= budget.run_expiry
+    assert budget.run_expiry + budget.tick <= budget.bounds.resend + ms(0.05)
--- a/tests/runs/test_orphans.py
+++ b/tests/runs/test_orphans.py
@@ -3,8 +3,8 @@
 from gypsumspoke.core.effects import Send
 from gypsumspoke.core.events import PeerConnected
 from gypsumspoke.runs.messages import WorkerReport
-from gypsumspoke.runs.orders import EndedRun, StopOrder
 from gypsumspoke.runs.values import JobEnd, RunEnd, RunId, TaskId
+from gypsumspoke.runs.worker_commands import EndedRun, StopCommand
 from tests.runs.lone_sidecar import LoneSidecar
 from tests.runs.world import Fate, World, job, ms
 
@@ -30,7 +30,7 @@
     """
     sidecar = LoneSidecar()
     effects = sidecar.take_list(ms(100), running=[FOUND])
-    assert any(isinstance(effect, StopOrder) for effect in effects)
+    assert any(isinstance(effect, StopCommand) for effect in effects)
     sidecar.take_list(ms(102), running=[FOUND])
     sidecar.take_list(ms(105))
     assert not is_clean(sidecar, ms(106))
@@ -63,7 +63,7 @@
     (host,) = [host for host in world.workers if world.workers[host].running]
     never = Fate(arrives=None, returns=None)
     world.fate = lambda at, order: (
-        never if at == host and isinstance(order, StopOrder) else None
+        never if at == host and isinstance(order, StopCommand) else None
     )
     world.kill(host)
     world.run(ms(100))
--- a/tests/runs/test_holds.py
+++ b/tests/runs/test_renewals.py
@@ -1,13 +1,13 @@
 """Holds under way at the worker, one at a time."""
 
 from gypsumspoke.core.events import Tick
-from gypsumspoke.runs.orders import HoldFailed, HoldOrder, OrderResult
+from gypsumspoke.runs.worker_commands import CommandResult, RenewalFailed, RenewCommand
 from tests.runs.lone_sidecar import LoneSidecar
 from tests.runs.world import World, ms
 
 
-def holds(effects) -> list[HoldOrder]:
-    return [effect for effect in effects if isinstance(effect, HoldOrder)]
+def holds(effects) -> list[RenewCommand]:
+    return [effect for effect in effects if isinstance(effect, RenewCommand)]
 
 
 def test_the_answer_to_an_overdue_hold_does_not_start_a_second_one_beside_the_next():
@@ -26,7 +26,7 @@
     sidecar = LoneSidecar()
     (first,) = holds(sidecar.take_list(ms(100)))
     assert len(holds(sidecar.take(ms(1100), Tick()))) == 1
-    failed = HoldFailed(OrderResult.UNANSWERED, number=first.number)
+    failed = RenewalFailed(CommandResult.UNANSWERED, number=first.number)
     assert holds(sidecar.take(ms(1101), failed)) == []
 
 
--- a/tests/runs/test_replaced.py
+++ b/tests/runs/test_replaced.py
@@ -5,8 +5,8 @@
 from gypsumspoke.core.effects import Send
 from gypsumspoke.core.events import Received
 from gypsumspoke.runs.messages import WorkerReport
-from gypsumspoke.runs.orders import StopOrder
 from gypsumspoke.runs.values import JobEnd
+from gypsumspoke.runs.worker_commands import StopCommand
 from tests.runs.test_path import settled
 from tests.runs.world import Fate, World, job, ms
 
@@ -62,7 +62,7 @@
     stops = []
 
     def delay_first_stop(at, order):
-        if at != host or not isinstance(order, StopOrder) or stops:
+        if at != host or not isinstance(order, StopCommand) or stops:
             return None
         stops.append(order)
         return Fate(arrives=RESTART - ms(before), returns=None)
--- a/tests/runs/test_reports.py
+++ b/tests/runs/test_reports.py
@@ -1,9 +1,9 @@
 """What entries know of a worker's room, and what becomes of a run that finds none."""
 
 from gypsumspoke.core.effects import Send
-from gypsumspoke.runs.budget import LONGEST_TICK
-from gypsumspoke.runs.guard_report import CHANGE_INTERVAL
+from gypsumspoke.runs.budget import MAX_TICK
 from gypsumspoke.runs.messages import Pulse, WorkerReport
+from gypsumspoke.runs.supervisor_report import CHANGE_REPORT_INTERVAL
 from gypsumspoke.runs.values import JobEnd
 from gypsumspoke.shell.run_role import SILENCE_LIMIT
 from tests.runs.test_path import settled
@@ -34,7 +34,7 @@
 
 def test_every_entry_hears_of_taken_room_soon():
     world = settled(sidecars=1)
-    world.run(CHANGE_INTERVAL)
+    world.run(CHANGE_REPORT_INTERVAL)
     world.submit("entry0", "r0", job("j0", count=1))
     world.run(ms(5))
     (view,) = world.processes["entry1"].state.views.values()
@@ -75,7 +75,7 @@
     world.run(ms(800))
     times = [time for time in pulse_times(world, "entry0") if time > start]
     gaps = [later - time for time, later in zip([start, *times], times)]
-    assert max(gaps) <= 2 * LONGEST_TICK
+    assert max(gaps) <= 2 * MAX_TICK
     assert len(times) >= 6
 
 
--- a/tests/runs/test_returning.py
+++ b/tests/runs/test_returning.py
@@ -50,6 +50,6 @@
         else:
             world.start_entry(host)
     world.submit("entry0", "r1", job("j1", count=2))
-    world.run(world.budget.stop_shows_after + ms(20))
+    world.run(world.budget.stop_settle_time + ms(20))
     assert len(world.starts_of("j1")) == 2
     assert not world.broken
--- a/tests/runs/test_safeguards.py
+++ b/tests/runs/test_safeguards.py
@@ -12,13 +12,13 @@
 from gypsumspoke.runs import (
     assignment,
     budget,
-    guard_holds,
-    guard_lease,
-    guard_life,
-    guard_orders,
-    guard_placing,
-    guard_waiting,
     patience,
+    supervisor_commands,
+    supervisor_incarnation,
+    supervisor_lease,
+    supervisor_placement,
+    supervisor_queue,
+    supervisor_renewals,
 )
 from gypsumspoke.runs.budget import DEFAULT_BUDGET
 from gypsumspoke.runs.messages import PlaceRun
@@ -64,9 +64,9 @@
 
 
 AGAINST_OLD_ORDERS = [
-    (budget.Budget, "order_fresh", LONG),
-    (budget.Budget, "lease_left", lambda self, silence: self.lease),
-    (guard_lease, "_ends_in_budget", lambda state, word: True),
+    (budget.Budget, "max_placement_age", LONG),
+    (budget.Budget, "allowed_lease", lambda self, silence: self.lease),
+    (supervisor_lease, "_ends_in_budget", lambda state, word: True),
 ]
 
 
@@ -83,7 +83,7 @@
 def test_an_order_older_than_its_bound_is_refused():
     sidecar = LoneSidecar()
     sidecar.take_list(ms(3), asked=ms(1), made=ms(2))
-    fresh = DEFAULT_BUDGET.order_fresh
+    fresh = DEFAULT_BUDGET.max_placement_age
     for age, refused in ((fresh - ms(1), False), (fresh + ms(1), True)):
         run = RunId(TaskId(f"j{age}", 0, 0), 1)
         place = PlaceRun(ms(400), run, TASK_ROOM, 1, TASK_TIME, ms(9000), "x")
@@ -119,50 +119,50 @@
     ),
     pytest.param(
         [
-            (budget.Budget, "lease_left", lambda self, silence: self.lease),
+            (budget.Budget, "allowed_lease", lambda self, silence: self.lease),
         ],
         lambda: lose_stops(DEFAULT_BUDGET),
         id="leases end by the last word of an entry whose runs are not stopped",
     ),
     pytest.param(
         [
-            (guard_waiting, "may_start_run", lambda state, guarded, now: True),
+            (supervisor_queue, "may_start_run", lambda state, guarded, now: True),
         ],
         test_lost_stops.test_a_sidecar_that_wakes_starts_no_run_of_a_lost_entry,
         id="nothing starts for an entry that was not heard lately",
     ),
     pytest.param(
         [
-            (budget.Budget, "runs_dead_after", timedelta()),
+            (budget.Budget, "run_expiry", timedelta()),
         ],
         test_faults.test_a_cut_moves_the_task_after_the_budget,
         id="tasks of a silent sidecar wait for the budget",
     ),
     pytest.param(
         [
-            (guard_orders, "hold_room", lambda state, guarded: None),
+            (supervisor_commands, "hold_room", lambda state, guarded: None),
         ],
         test_path.test_jobs_of_two_entries_share_a_worker_within_its_room,
         id="starts take room",
     ),
     pytest.param(
         [
-            (guard_life, "take_life", lambda state, born, now: None),
-            (guard_holds, "take_life", lambda state, born, now: None),
+            (supervisor_incarnation, "take_life", lambda state, born, now: None),
+            (supervisor_renewals, "take_life", lambda state, born, now: None),
         ],
         test_faults.test_a_worker_that_crashed_is_not_taken_for_full,
         id="a new life counts anew",
     ),
     pytest.param(
         [
-            (guard_holds, "stop_orphans", lambda state, event, is_first: []),
+            (supervisor_renewals, "stop_orphans", lambda state, event, is_first: []),
         ],
         test_faults.test_a_killed_sidecar_is_replaced_and_its_tasks_run_again_soon,
         id="unknown runs are stopped",
     ),
     pytest.param(
         [
-            (budget.Budget, "stop_shows_after", timedelta()),
+            (budget.Budget, "stop_settle_time", timedelta()),
         ],
         test_orphans.test_a_run_that_is_being_stopped_for_a_new_sidecar_is_at_work,
         id="an unknown run counts until its stop has taken effect",
@@ -183,7 +183,7 @@
     ),
     pytest.param(
         [
-            (guard_placing, "_send_back", lambda state, run, now: []),
+            (supervisor_placement, "_send_back", lambda state, run, now: []),
         ],
         test_reports.test_a_run_that_finds_no_room_goes_where_there_is_some,
         id="runs without room are sent back",
--- a/tests/runs/walk.py
+++ b/tests/runs/walk.py
@@ -17,8 +17,8 @@
 
 from gypsumspoke.runs.budget import DEFAULT_BUDGET, Budget
 from gypsumspoke.runs.coordinator_state import AnswerJob
-from gypsumspoke.runs.orders import HoldOrder, StartOrder, StopOrder
 from gypsumspoke.runs.values import JobEnd
+from gypsumspoke.runs.worker_commands import RenewCommand, StartCommand, StopCommand
 from tests.runs.world import Fate, World, job, ms
 
 ENTRIES = ("entry0", "entry1")
@@ -294,11 +294,11 @@
         hosts = self.random.choice((*((side,) for side in SIDES), SIDES))
         kinds = self.random.choice(
             (
-                (StartOrder,),
-                (StopOrder,),
-                (HoldOrder,),
-                (StartOrder, StopOrder),
-                (StartOrder, StopOrder, HoldOrder),
+                (StartCommand,),
+                (StopCommand,),
+                (RenewCommand,),
+                (StartCommand, StopCommand),
+                (StartCommand, StopCommand, RenewCommand),
             )
         )
         spoilt = Spoilt(
@@ -313,7 +313,10 @@
         """Let starts and lists of one sidecar overtake each other for a while."""
         host = self.random.choice(SIDES)
         after = ms(self.random.choice((1500, 5000)))
-        for kind, how in ((StartOrder, Spoiling.MIXED), (HoldOrder, Spoiling.SLOW)):
+        for kind, how in (
+            (StartCommand, Spoiling.MIXED),
+            (RenewCommand, Spoiling.SLOW),
+        ):
             self.spoilt[host, kind] = Spoilt(how, self.random.choice((0.5, 1.0)))
             self.world.at(after, partial(self.spoilt.pop, (host, kind), None))
 
--- a/tests/runs/worker.py
+++ b/tests/runs/worker.py
@@ -8,15 +8,15 @@
 from datetime import timedelta
 from typing import NamedTuple
 
-from gypsumspoke.runs.orders import (
+from gypsumspoke.runs.values import NO_ROOM, Room, RunEnd, RunId, TaskId, add, fits
+from gypsumspoke.runs.worker_commands import (
+    CommandResult,
     EndedRun,
-    HoldOrder,
-    OrderResult,
+    RenewCommand,
     RunningRun,
-    StartOrder,
-    StopOrder,
+    StartCommand,
+    StopCommand,
 )
-from gypsumspoke.runs.values import NO_ROOM, Room, RunEnd, RunId, TaskId, add, fits
 
 ZERO = timedelta()
 LONGEST_HOLD = timedelta(seconds=1)
@@ -74,45 +74,45 @@
             for run in list(self.running):
                 self._end(run, RunEnd.LOST, lapsed=True)
 
-    def start(self, order: StartOrder, clock: timedelta) -> OrderResult:
+    def start(self, order: StartCommand, clock: timedelta) -> CommandResult:
         """Carry out a start."""
         self.advance(clock)
         if order.token < self.token:
-            return OrderResult.FENCED
+            return CommandResult.FENCED
         self.token = order.token
         if order.run in self.running:
-            return OrderResult.ACCEPTED
+            return CommandResult.ACCEPTED
         if order.lease_end <= clock:
-            return OrderResult.LATE
+            return CommandResult.LATE
         self._extend(order.lease_end, clock)
         if order.run.number <= self.highest.get(order.run.task, 0):
-            return OrderResult.NUMBER_TOO_LOW
+            return CommandResult.NUMBER_TOO_LOW
         self._begin(order.run, clock)
-        return OrderResult.ACCEPTED
+        return CommandResult.ACCEPTED
 
-    def stop(self, order: StopOrder, clock: timedelta) -> OrderResult:
+    def stop(self, order: StopCommand, clock: timedelta) -> CommandResult:
         """Carry out a stop, also of a run that is not there yet."""
         self.advance(clock)
         if order.token < self.token:
-            return OrderResult.FENCED
+            return CommandResult.FENCED
         self.token = order.token
         known = self.highest.get(order.run.task, 0)
         self.highest[order.run.task] = max(known, order.run.number)
         if order.run in self.running:
             at_work = self.running.pop(order.run)
             self.stopping[order.run] = (at_work, clock + STOP_LASTS)
-        return OrderResult.ACCEPTED
+        return CommandResult.ACCEPTED
 
-    def hold(self, order: HoldOrder, clock: timedelta) -> OrderResult:
+    def hold(self, order: RenewCommand, clock: timedelta) -> CommandResult:
         """Extend the lease."""
         self.advance(clock)
         if order.token < self.token:
-            return OrderResult.FENCED
+            return CommandResult.FENCED
         self.token = order.token
         if order.lease_end is not None:
             self._extend(order.lease_end, clock)
         self.ended = [end for end in self.ended if end.number > order.last_seen]
-        return OrderResult.ACCEPTED
+        return CommandResult.ACCEPTED
 
     def listed(self, clock: timedelta) -> tuple[RunningRun, ...]:
         """Return what runs, with its progress."""
--- a/tests/runs/world.py
+++ b/tests/runs/world.py
@@ -26,7 +26,7 @@
     Tick,
     Timed,
 )
-from gypsumspoke.runs import coordinator, guard
+from gypsumspoke.runs import coordinator, supervisor
 from gypsumspoke.runs.admission import refuse_behind
 from gypsumspoke.runs.budget import DEFAULT_BUDGET, Budget
 from gypsumspoke.runs.coordinator_state import (
@@ -37,20 +37,9 @@
     JobCallerLeft,
 )
 from gypsumspoke.runs.directory import Directory
-from gypsumspoke.runs.guard_holds import HOLD_ANSWER_WITHIN
-from gypsumspoke.runs.guard_state import GuardState
-from gypsumspoke.runs.orders import (
-    HeartbeatArrived,
-    HoldAnswered,
-    HoldFailed,
-    HoldOrder,
-    OrderAnswered,
-    OrderKind,
-    OrderResult,
-    StartOrder,
-    StopOrder,
-)
 from gypsumspoke.runs.routing import RoutingTable
+from gypsumspoke.runs.supervisor_renewals import COMMAND_TIMEOUT
+from gypsumspoke.runs.supervisor_state import SupervisorState
 from gypsumspoke.runs.values import (
     Configuration,
     Job,
@@ -63,6 +52,17 @@
     Step,
     WorkerReady,
 )
+from gypsumspoke.runs.worker_commands import (
+    CommandAnswered,
+    CommandKind,
+    CommandResult,
+    HeartbeatArrived,
+    RenewalAnswered,
+    RenewalFailed,
+    RenewCommand,
+    StartCommand,
+    StopCommand,
+)
 from tests.runs.worker import ZERO, FakeWorker
 
 START = datetime(2030, 1, 1, tzinfo=timezone.utc)
@@ -129,7 +129,7 @@
 
     arrives: timedelta | None
     returns: timedelta | None
-    given_up: timedelta = HOLD_ANSWER_WITHIN
+    given_up: timedelta = COMMAND_TIMEOUT
 
 
 class Exchange:
@@ -227,8 +227,8 @@
 
     def start_sidecar(self, host: str) -> Process:
         """Start a sidecar, or the next incarnation of one."""
-        state = GuardState(SERVICE, Directory("", ()), self.now, self.budget)
-        process = self._add(host, guard.reduce, state)
+        state = SupervisorState(SERVICE, Directory("", ()), self.now, self.budget)
+        process = self._add(host, supervisor.reduce, state)
         self._beat(process)
         return process
 
@@ -375,7 +375,7 @@
         self.at(self.budget.tick, lambda: self._tick(process))
 
     def _connect_all(self, process: Process) -> None:
-        if process.frozen or not isinstance(process.state, GuardState):
+        if process.frozen or not isinstance(process.state, SupervisorState):
             return
         for other in list(self.processes.values()):
             if not isinstance(other.state, CoordinatorState):
@@ -413,7 +413,7 @@
                 self.at(ONE_WAY, lambda: self._deliver(pair, to, event))
             case AnswerJob():
                 self._take_answer(effect)
-            case StartOrder() | StopOrder() | HoldOrder():
+            case StartCommand() | StopCommand() | RenewCommand():
                 self.at(ZERO, lambda: self._order(process, effect))
             case Exit():
                 process.exited = True
@@ -473,7 +473,7 @@
             self._exchange(process, order, fate)
             return
         chance = self.random.random()
-        is_deaf = isinstance(order, StopOrder) and host in self.deaf_to_stops
+        is_deaf = isinstance(order, StopCommand) and host in self.deaf_to_stops
         if is_deaf or host in self.silent_workers or chance < self.lost_share:
             self._unanswered(process, order)
             return
@@ -483,40 +483,42 @@
             self.at(delay, lambda: self._carry_out_late(host, worker, order))
             self._unanswered(process, order)
             return
-        if isinstance(order, HoldOrder):
+        if isinstance(order, RenewCommand):
             self._hold(process, order, self.now)
             return
-        if isinstance(order, StartOrder) and self.delay_starts > 0:
+        if isinstance(order, StartCommand) and self.delay_starts > 0:
             self.delay_starts -= 1
-            delay = HOLD_ANSWER_WITHIN + ms(0.5)
+            delay = COMMAND_TIMEOUT + ms(0.5)
             self.at(delay, lambda: self._carry_out(host, self.workers[host], order))
             self._unanswered(process, order)
             return
         worker = self.workers[host]
         result = self._carry_out(host, worker, order)
-        loses = isinstance(order, StartOrder) and self.lose_start_answers > 0
+        loses = isinstance(order, StartCommand) and self.lose_start_answers > 0
         self.lose_start_answers -= loses
         if loses or self.random.random() < self.lost_share:
             self._unanswered(process, order)
             return
-        kind = OrderKind.START if isinstance(order, StartOrder) else OrderKind.STOP
+        kind = (
+            CommandKind.START if isinstance(order, StartCommand) else CommandKind.STOP
+        )
         clock = self.worker_clock(host)
-        event = OrderAnswered(kind, order.run, result, clock, self.now)
+        event = CommandAnswered(kind, order.run, result, clock, self.now)
         self.at(ONE_WAY, lambda: self.post(process, event))
 
-    def _carry_out(self, host: str, worker: FakeWorker, order: Any) -> OrderResult:
+    def _carry_out(self, host: str, worker: FakeWorker, order: Any) -> CommandResult:
         clock = self.worker_clock(host)
-        if isinstance(order, StartOrder):
+        if isinstance(order, StartCommand):
             return worker.start(order, clock)
         return worker.stop(order, clock)
 
     def _carry_out_late(self, host: str, worker: FakeWorker, order: Any) -> None:
-        if worker is self.workers[host] and not isinstance(order, HoldOrder):
+        if worker is self.workers[host] and not isinstance(order, RenewCommand):
             self._carry_out(host, worker, order)
 
     def _unanswered(self, process: Process, order: Any) -> None:
         event = _no_answer(order)
-        delay = _wait_of(order) + HOLD_ANSWER_WITHIN
+        delay = _wait_of(order) + COMMAND_TIMEOUT
         self.at(delay, lambda: self.post(process, event))
 
     def _exchange(self, process: Process, order: Any, fate: Fate) -> None:
@@ -533,18 +535,22 @@
         if worker is not self.workers[host]:
             return
         clock = self.worker_clock(host)
-        if not isinstance(order, HoldOrder):
+        if not isinstance(order, RenewCommand):
             result = self._carry_out(host, worker, order)
-            kind = OrderKind.START if isinstance(order, StartOrder) else OrderKind.STOP
+            kind = (
+                CommandKind.START
+                if isinstance(order, StartCommand)
+                else CommandKind.STOP
+            )
             sent = exchange.sent
-            event = OrderAnswered(kind, order.run, result, clock, sent)
+            event = CommandAnswered(kind, order.run, result, clock, sent)
             self._return(exchange, fate, event)
             return
         result = worker.hold(order, clock)
-        if result is OrderResult.ACCEPTED:
+        if result is CommandResult.ACCEPTED:
             self._list(exchange, worker, fate, self.now)
         else:
-            failed = HoldFailed(
+            failed = RenewalFailed(
                 result, clock, order.is_extra, order.token, order.number
             )
             self._return(exchange, fate, failed)
@@ -564,7 +570,7 @@
             return
         listed = worker.listed(clock)
         born = self.lives[host]
-        event = HoldAnswered(
+        event = RenewalAnswered(
             exchange.sent,
             clock,
             born,
@@ -586,25 +592,31 @@
             exchange.is_open = False
             self.post(exchange.process, event)
 
-    def _hold(self, process: Process, order: HoldOrder, sent: datetime) -> None:
+    def _hold(self, process: Process, order: RenewCommand, sent: datetime) -> None:
         host = process.host
         worker = self.workers[host]
         result = worker.hold(order, self.worker_clock(host))
-        if result is not OrderResult.ACCEPTED:
+        if result is not CommandResult.ACCEPTED:
             clock = self.worker_clock(host)
-            event = HoldFailed(result, clock, order.is_extra, order.token, order.number)
+            event = RenewalFailed(
+                result, clock, order.is_extra, order.token, order.number
+            )
             self.at(ONE_WAY, lambda: self.post(process, event))
             return
         self._answer_hold(process, worker, order, sent)
 
     def _answer_hold(
-        self, process: Process, worker: FakeWorker, order: HoldOrder, sent: datetime
+        self, process: Process, worker: FakeWorker, order: RenewCommand, sent: datetime
     ) -> None:
         """Answer when there is an end, or when the wait is over."""
         host = process.host
         if worker is not self.workers[host]:
-            failed = HoldFailed(
-                OrderResult.UNANSWERED, None, order.is_extra, order.token, order.number
+            failed = RenewalFailed(
+                CommandResult.UNANSWERED,
+                None,
+                order.is_extra,
+                order.token,
+                order.number,
             )
             self.post(process, failed)
             return
@@ -617,7 +629,7 @@
             return
         listed = worker.listed(clock)
         born = self.lives[host]
-        event = HoldAnswered(
+        event = RenewalAnswered(
             sent, clock, born, listed, ended, order.is_extra, order.token, order.number
         )
         self.at(ONE_WAY, lambda: self.post(process, event))
@@ -649,13 +661,13 @@
 
 
 def _wait_of(order: Any) -> timedelta:
-    return order.wait if isinstance(order, HoldOrder) else ZERO
+    return order.wait if isinstance(order, RenewCommand) else ZERO
 
 
-def _no_answer(order: Any) -> HoldFailed | OrderAnswered:
-    if isinstance(order, HoldOrder):
-        return HoldFailed(
-            OrderResult.UNANSWERED, None, order.is_extra, order.token, order.number
+def _no_answer(order: Any) -> RenewalFailed | CommandAnswered:
+    if isinstance(order, RenewCommand):
+        return RenewalFailed(
+            CommandResult.UNANSWERED, None, order.is_extra, order.token, order.number
         )
-    kind = OrderKind.START if isinstance(order, StartOrder) else OrderKind.STOP
-    return OrderAnswered(kind, order.run, OrderResult.UNANSWERED)
+    kind = CommandKind.START if isinstance(order, StartCommand) else CommandKind.STOP
+    return CommandAnswered(kind, order.run, CommandResult.UNANSWERED)
--- a/tests/standins/platform_worker.py
+++ b/tests/standins/platform_worker.py
@@ -12,16 +12,21 @@
 from gevent.pywsgi import WSGIServer
 
 from gypsumspoke.platform.names import run_of, task_name
-from gypsumspoke.runs.orders import HoldOrder, OrderResult, StartOrder, StopOrder
 from gypsumspoke.runs.values import Room, RunEnd
+from gypsumspoke.runs.worker_commands import (
+    CommandResult,
+    RenewCommand,
+    StartCommand,
+    StopCommand,
+)
 from tests.runs.worker import FakeWorker
 from tests.standins.server import Unanswered
 
 _REASONS = {
-    OrderResult.FENCED: "fence",
-    OrderResult.NUMBER_TOO_LOW: "old",
-    OrderResult.LATE: "late",
-    OrderResult.NO_ROOM: "room",
+    CommandResult.FENCED: "fence",
+    CommandResult.NUMBER_TOO_LOW: "old",
+    CommandResult.LATE: "late",
+    CommandResult.NO_ROOM: "room",
 }
 _ENDS = {
     RunEnd.DONE: "done",
@@ -132,25 +137,25 @@
         token = body.get("fencing_token", 0)
         if path == "/v1/run-start":
             lease_end = body["deadline_ms"] * _MILLISECOND
-            order = StartOrder(run, body["spec"], self.id, lease_end, token)
+            order = StartCommand(run, body["spec"], self.id, lease_end, token)
             result = self.worker.start(order, self._clock())
             if self.lose_answers:
                 self.lose_answers -= 1
                 raise Unanswered
             return self._ordinary(result)
-        result = self.worker.stop(StopOrder(run, self.id, token), self._clock())
+        result = self.worker.stop(StopCommand(run, self.id, token), self._clock())
         return self._ordinary(result)
 
-    def _ordinary(self, result: OrderResult):
+    def _ordinary(self, result: CommandResult):
         clock = {"clock_ms": self._clock() // _MILLISECOND}
-        if result is OrderResult.ACCEPTED:
+        if result is CommandResult.ACCEPTED:
             return 200, clock
         return 409, {**clock, "reason": _REASONS[result]}
 
     def _hold(self, body: dict):
         seen = body["last_seen"]
         lease_end = body.get("deadline_ms")
-        order = HoldOrder(
+        order = RenewCommand(
             self.id,
             lease_end * _MILLISECOND if lease_end is not None else None,
             seen,
@@ -158,7 +163,7 @@
             body.get("fencing_token", 0),
         )
         result = self.worker.hold(order, self._clock())
-        if result is not OrderResult.ACCEPTED:
+        if result is not CommandResult.ACCEPTED:
             return self._ordinary(result)
         end = time.monotonic() + order.wait.total_seconds()
         while time.monotonic() < end:
