--- a/tests/platform/test_processes.py
+++ b/tests/platform/test_processes.py
@@ -31,7 +31,7 @@
     for number in range(2):
         status, body, _ = system.submit(number, job_id(number), count=3)
         assert (status, body) == (200, {"state": "completed"})
-    assert not any(worker.worker.broken for worker in system.workers)
+    assert not any(worker.worker.violations for worker in system.workers)
 
 
 def test_bad_requests_are_answered_at_once_and_the_entry_lives(system):
@@ -162,7 +162,7 @@
     system.sidecars[0].kill()
     system.sidecars[0] = system.start_sidecar(0)
     assert waiting.get()[:2] == (200, {"state": "completed"})
-    assert not any(worker.worker.broken for worker in system.workers)
+    assert not any(worker.worker.violations for worker in system.workers)
 
 
 def test_a_sidecar_that_stops_lets_its_runs_end(system):
--- a/tests/runs/test_behind.py
+++ b/tests/runs/test_behind.py
@@ -123,7 +123,7 @@
     assert reasons[EndReason.SIDECAR_SILENT] == 0
     assert reasons[EndReason.ORDER_STALE] == 0
     assert reasons[RefusalReason.ISOLATED] == 0
-    assert not world.broken
+    assert not world.violations
 
 
 def test_an_entry_takes_all_jobs_again_when_the_load_is_over():
--- a/tests/runs/test_faults.py
+++ b/tests/runs/test_faults.py
@@ -45,10 +45,10 @@
     world.run(ms(100))
     getattr(world, lose)("entry0")
     world.drained_at["side0"] = world.now
-    world.beat("side0", WorkerReady.DRAINING)
+    world.send_heartbeat("side0", WorkerReady.DRAINING)
     resubmit(world, count=1)
     assert world.end_of("r2") is JobEnd.COMPLETED
-    assert not world.broken
+    assert not world.violations
 
 
 def test_an_entry_and_a_sidecar_are_lost_together():
@@ -68,7 +68,7 @@
     world.run(RESEND - ms(350))
     world.submit("entry1", "r2", job("j1", count=4), ms(9000))
     world.run(ms(8000))
-    assert not world.broken
+    assert not world.violations
     assert world.end_of("r2") is JobEnd.COMPLETED
 
 
@@ -83,10 +83,10 @@
     world.run(ms(100))
     world.freeze("entry0", ms(1800))
     world.run(RESEND)
-    world.leave("entry0", "r1")
+    world.close_request("entry0", "r1")
     world.submit("entry1", "r2", job("j1"), ms(9000))
     world.run(ms(5000))
-    assert not world.broken
+    assert not world.violations
     assert world.end_of("r2") is JobEnd.COMPLETED
 
 
@@ -105,7 +105,7 @@
     world.cut.discard(frozenset(("entry0", "side0")))
     world.run(ms(1000))
     assert world.end_of("r1") is JobEnd.COMPLETED
-    assert not world.broken
+    assert not world.violations
 
 
 def test_a_cut_moves_the_task_after_the_budget():
@@ -119,7 +119,7 @@
     world.cut_off("entry0", "side0")
     world.run(ms(6000))
     assert world.end_of("r1") is JobEnd.COMPLETED
-    assert not world.broken
+    assert not world.violations
 
 
 def test_a_reset_connection_ends_no_run():
@@ -147,7 +147,7 @@
     world.start_sidecar("side0")
     world.run(ms(3000))
     assert world.end_of("r1") is JobEnd.COMPLETED
-    assert not world.broken
+    assert not world.violations
 
 
 def test_a_worker_that_crashed_is_not_taken_for_full():
@@ -167,7 +167,7 @@
     world.submit("entry0", "r2", job("j2", count=2))
     world.run(ms(500))
     assert world.end_of("r2") is JobEnd.COMPLETED
-    assert not world.broken
+    assert not world.violations
 
 
 def test_a_silent_worker_loses_its_tasks_to_another():
@@ -181,7 +181,7 @@
     world.silent_workers.add("side0")
     world.run(ms(4500))
     assert world.end_of("r1") is JobEnd.COMPLETED
-    assert not world.broken
+    assert not world.violations
 
 
 def test_a_worker_on_which_tasks_stand_still_is_left():
@@ -190,7 +190,7 @@
     world.submit("entry0", "r1", job("j1", count=2))
     world.run(ms(1200))
     assert world.end_of("r1") is JobEnd.COMPLETED
-    assert not world.broken
+    assert not world.violations
 
 
 def test_a_start_whose_answer_is_lost_runs_once():
@@ -206,7 +206,7 @@
     world.run(ms(3000))
     ends = {world.end_of(f"r{number}") for number in range(10)}
     assert ends == {JobEnd.COMPLETED}
-    assert not world.broken
+    assert not world.violations
 
 
 def test_a_start_that_is_answered_too_late_is_not_stopped():
@@ -233,7 +233,7 @@
     world.submit("entry0", "r1", job("j1", count=1), ms(9000))
     world.run(ms(4000))
     assert world.end_of("r1") is JobEnd.COMPLETED
-    assert not world.broken
+    assert not world.violations
 
 
 def test_orders_that_are_carried_out_late_start_nothing():
@@ -247,7 +247,7 @@
         world.run(ms(300))
     world.late_share = 0.0
     world.run(ms(13000))
-    assert not world.broken
+    assert not world.violations
     ends = {world.end_of(f"r{number}") for number in range(20)}
     assert ends == {JobEnd.COMPLETED}
 
@@ -317,7 +317,7 @@
     world.submit("entry0", "after", job("j3"), ms(9000))
     world.run(ms(600))
     assert world.end_of("after") is JobEnd.COMPLETED
-    assert not world.broken
+    assert not world.violations
 
 
 def test_an_entry_that_wakes_does_not_take_itself_for_isolated():
@@ -330,7 +330,7 @@
     world.submit("entry0", "r1", job("j1"), ms(9000))
     world.run(ms(1000))
     assert world.end_of("r1") is JobEnd.COMPLETED
-    assert not world.broken
+    assert not world.violations
 
 
 def test_a_tick_that_comes_before_the_reports_of_a_pause_isolates_nobody():
--- a/tests/runs/test_late_ends.py
+++ b/tests/runs/test_late_ends.py
@@ -28,7 +28,7 @@
     world.run(ms(100))
     assert world.workers["side0"].running
     world.freeze("side0", ms(2500))
-    world.leave("entry0", "r1")
+    world.close_request("entry0", "r1")
     world.run(RESEND)
     world.submit("entry0", "r2", job("j1", count=1), ms(20_000))
     world.run(ms(100))
@@ -43,7 +43,7 @@
     """
     world = with_a_copy_beside_a_frozen_sidecar()
     world.run(ms(7000))
-    assert not world.broken
+    assert not world.violations
     assert world.end_of("r2") is JobEnd.COMPLETED
     assert len(world.starts_of("j1")) == 2
 
@@ -53,13 +53,13 @@
     the second one's run.
     """
     world = with_a_copy_beside_a_frozen_sidecar()
-    world.deaf_to_stops.add("side1")
+    world.hosts_ignoring_stops.add("side1")
     world.run(ms(800))
-    world.leave("entry0", "r2")
+    world.close_request("entry0", "r2")
     world.run(ms(400))
     world.submit("entry0", "r3", job("j1", count=1), ms(20_000))
     world.run(ms(9000))
-    assert not world.broken
+    assert not world.violations
     assert world.end_of("r3") is JobEnd.COMPLETED
 
 
@@ -73,7 +73,7 @@
         worker.takes = lambda task: timedelta(seconds=1)
     world.submit("entry0", "r1", job("j1", count=1), ms(20_000))
     world.run(ms(100))
-    world.leave("entry0", "r1")
+    world.close_request("entry0", "r1")
     world.run(ms(3))
     world.cut_off("entry0", "side0")
     world.run(ms(95))
@@ -83,7 +83,7 @@
     world.submit("entry0", "r2", job("j1", count=1), ms(20_000))
     world.run(ms(1500))
     assert world.end_of("r2") is JobEnd.COMPLETED
-    assert not world.broken
+    assert not world.violations
 
 
 def test_a_run_that_is_withdrawn_before_it_comes_never_starts():
--- a/tests/runs/test_lost_stops.py
+++ b/tests/runs/test_lost_stops.py
@@ -44,14 +44,14 @@
     world.submit("entry0", "r1", job("j1", count=1), ms(20_000))
     world.run(budget.tick)
     assert world.workers["side0"].running
-    world.deaf_to_stops.add("side0")
+    world.hosts_ignoring_stops.add("side0")
     return world
 
 
 def come_back(world: World) -> None:
     """Send the job again through the other entry, to the other worker."""
     world.drained_at["side0"] = world.now
-    world.beat("side0", WorkerReady.DRAINING)
+    world.send_heartbeat("side0", WorkerReady.DRAINING)
     world.submit("entry1", "r2", job("j1", count=1), ms(20_000))
     world.run(ms(5000))
 
@@ -77,18 +77,18 @@
     world.run(budget.bounds.resend)
     come_back(world)
     assert world.end_of("r2") is JobEnd.COMPLETED
-    assert not world.broken
+    assert not world.violations
 
 
 @EACH_BUDGET
 def test_lost_stops_of_a_withdrawn_job_leave_no_run_beside_the_next(budget):
     """A caller leaves an entry that lives on, and the stops go unanswered."""
     world = with_a_run_at_side0(budget)
-    world.leave("entry0", "r1")
+    world.close_request("entry0", "r1")
     world.run(budget.bounds.resend)
     come_back(world)
     assert world.end_of("r2") is JobEnd.COMPLETED
-    assert not world.broken
+    assert not world.violations
 
 
 @EACH_BUDGET
@@ -101,11 +101,11 @@
     if is_lost:
         world.power_off("entry0")
     else:
-        world.leave("entry0", "r1")
+        world.close_request("entry0", "r1")
     submit_beside(world, budget.bounds.resend)
     come_back(world)
     assert world.end_of("r2") is JobEnd.COMPLETED
-    assert not world.broken
+    assert not world.violations
 
 
 @EACH_BUDGET
@@ -124,7 +124,7 @@
     world.freeze("side0", ms(8000))
     world.run(ms(8000))
     assert world.end_of("r1") is JobEnd.COMPLETED
-    assert not world.broken
+    assert not world.violations
 
 
 def test_a_stop_that_is_answered_late_costs_the_other_runs_nothing():
@@ -133,7 +133,7 @@
     world.run(ms(20))
     world.power_off("entry0")
     world.run(ms(850))
-    world.deaf_to_stops.clear()
+    world.hosts_ignoring_stops.clear()
     world.run(ms(4000))
     assert world.end_of("beside") is JobEnd.COMPLETED
     assert len(world.starts_of("beside")) == 1
@@ -159,7 +159,7 @@
     world = with_a_run_at_side0(BUDGETS[0])
     world.power_off("entry0")
     world.run(ms(800))
-    world.deaf_to_stops.clear()
+    world.hosts_ignoring_stops.clear()
     world.run(ms(400))
     effects = [effect for _, name, effect in world.log if name.startswith("side0")]
     events = [effect.event for effect in effects if isinstance(effect, Log)]
--- a/tests/runs/test_orphans.py
+++ b/tests/runs/test_orphans.py
@@ -6,7 +6,7 @@
 from gypsumspoke.runs.values import JobEnd, RunEnd, RunId, TaskId
 from gypsumspoke.runs.worker_commands import EndedRun, StopCommand
 from tests.runs.lone_sidecar import LoneSidecar
-from tests.runs.world import Fate, World, job, ms
+from tests.runs.world import Delivery, World, job, ms
 
 FOUND = RunId(TaskId("j1", 0, 0), 1)
 
@@ -61,15 +61,15 @@
     world.submit("entry0", "r1", job("j1", count=1), ms(8000))
     world.run(ms(50))
     (host,) = [host for host in world.workers if world.workers[host].running]
-    never = Fate(arrives=None, returns=None)
-    world.fate = lambda at, order: (
+    never = Delivery(arrives=None, returns=None)
+    world.delivery = lambda at, order: (
         never if at == host and isinstance(order, StopCommand) else None
     )
     world.kill(host)
     world.run(ms(100))
     world.start_sidecar(host)
     world.run(ms(6000))
-    assert world.broken == []
+    assert world.violations == []
     assert world.end_of("r1") is JobEnd.COMPLETED
 
 
--- a/tests/runs/test_overload.py
+++ b/tests/runs/test_overload.py
@@ -31,7 +31,7 @@
     ends = [world.end_of(f"r{number}") for number in range(12)]
     assert ends.count(JobEnd.COMPLETED) >= 10
     assert placements(world) < 60
-    assert not world.broken
+    assert not world.violations
 
 
 def test_jobs_in_time_go_before_jobs_that_are_late_already():
--- a/tests/runs/test_path.py
+++ b/tests/runs/test_path.py
@@ -21,7 +21,7 @@
     world.run(ms(150))
     assert world.end_of("r1") is JobEnd.COMPLETED
     assert len(world.starts_of("j1")) == 3
-    assert not world.broken
+    assert not world.violations
 
 
 def test_more_tasks_than_room_are_run_one_after_another():
@@ -29,7 +29,7 @@
     world.submit("entry0", "r1", job("j1", count=7), ms(10000))
     world.run(ms(1500))
     assert world.end_of("r1") is JobEnd.COMPLETED
-    assert not world.broken
+    assert not world.violations
 
 
 def test_jobs_of_two_entries_share_a_worker_within_its_room():
@@ -38,7 +38,7 @@
     world.submit("entry1", "r2", job("j2", count=2), ms(10000))
     world.run(ms(1500))
     assert world.end_of("r1") is world.end_of("r2") is JobEnd.COMPLETED
-    assert not world.broken
+    assert not world.violations
 
 
 def test_a_later_step_begins_when_the_earlier_one_is_done():
@@ -89,7 +89,7 @@
     world = settled()
     world.submit("entry0", "r1", job("j1"))
     world.run(ms(50))
-    world.leave("entry0", "r1")
+    world.close_request("entry0", "r1")
     world.run(ms(20))
     assert not any(worker.running for worker in world.workers.values())
 
@@ -102,11 +102,11 @@
     world = settled()
     world.submit("entry0", "r1", job("j1", count=1))
     world.run(ms(50))
-    world.leave("entry0", "r1")
+    world.close_request("entry0", "r1")
     world.submit("entry0", "r2", job("j1", count=1))
     world.run(ms(600))
     assert world.end_of("r2") is JobEnd.COMPLETED
-    assert not world.broken
+    assert not world.violations
 
 
 def test_a_draining_worker_gets_nothing_new_and_finishes_what_runs():
@@ -114,7 +114,7 @@
     world.submit("entry0", "r1", job("j1", count=4))
     world.run(ms(50))
     world.drained_at["side0"] = world.now
-    world.beat("side0", WorkerReady.DRAINING)
+    world.send_heartbeat("side0", WorkerReady.DRAINING)
     world.run(ms(10))
     before = list(world.workers["side0"].starts)
     world.submit("entry0", "r2", job("j2", count=1))
--- a/tests/runs/test_patience.py
+++ b/tests/runs/test_patience.py
@@ -100,4 +100,4 @@
     assert "new" in world.answers
     world.run(ms(4000))
     assert len(world.answers) == 10
-    assert not world.broken
+    assert not world.violations
--- a/tests/runs/test_renewals.py
+++ b/tests/runs/test_renewals.py
@@ -32,7 +32,7 @@
 
 def test_a_sidecar_that_was_frozen_often_sends_no_more_holds_than_before():
     world = World(entries=1, sidecars=1)
-    world.wakes_with_a_tick = True
+    world.tick_on_wake = True
     for _ in range(4):
         world.run(ms(1000))
         world.freeze("side0", ms(900))
--- a/tests/runs/test_replaced.py
+++ b/tests/runs/test_replaced.py
@@ -8,7 +8,7 @@
 from gypsumspoke.runs.values import JobEnd
 from gypsumspoke.runs.worker_commands import StopCommand
 from tests.runs.test_path import settled
-from tests.runs.world import Fate, World, job, ms
+from tests.runs.world import Delivery, World, job, ms
 
 
 def test_a_late_report_of_an_earlier_process_ends_no_run_of_the_next():
@@ -37,7 +37,7 @@
     entry = world.processes["entry0"]
     world.post(entry, Received(first, reports[-1]))
     world.run(ms(3000))
-    assert not world.broken
+    assert not world.violations
     assert world.end_of("r1") is JobEnd.COMPLETED
     assert len(world.starts_of("j1")) == 4
 
@@ -65,9 +65,9 @@
         if at != host or not isinstance(order, StopCommand) or stops:
             return None
         stops.append(order)
-        return Fate(arrives=RESTART - ms(before), returns=None)
+        return Delivery(arrives=RESTART - ms(before), returns=None)
 
-    world.fate = delay_first_stop
+    world.delivery = delay_first_stop
     while not stops:
         world.run(ms(1))
     world.run(ms(5))
@@ -75,4 +75,4 @@
     world.run(RESTART - ms(5))
     world.start_sidecar(host)
     world.run(ms(6000))
-    assert not world.broken
+    assert not world.violations
--- a/tests/runs/test_reports.py
+++ b/tests/runs/test_reports.py
@@ -90,7 +90,7 @@
     world.submit("entry1", "r1", job("j0", count=1))
     world.run(ms(600))
     assert world.end_of("r1") is JobEnd.COMPLETED
-    assert not world.broken
+    assert not world.violations
     assert world.end_of("r0") is JobEnd.GIVEN_UP
     assert len(world.starts_of("j0")) == 2
 
--- a/tests/runs/test_returning.py
+++ b/tests/runs/test_returning.py
@@ -30,7 +30,7 @@
     assert len(world.starts_of("j1")) == 2
     world.run(ms(400))
     assert world.end_of("r1") is JobEnd.COMPLETED
-    assert not world.broken
+    assert not world.violations
 
 
 def test_a_job_runs_at_once_when_the_processes_are_back_and_the_workers_lived():
@@ -52,4 +52,4 @@
     world.submit("entry0", "r1", job("j1", count=2))
     world.run(world.budget.stop_settle_time + ms(20))
     assert len(world.starts_of("j1")) == 2
-    assert not world.broken
+    assert not world.violations
--- a/tests/runs/test_safeguards.py
+++ b/tests/runs/test_safeguards.py
@@ -60,7 +60,7 @@
 
 
 def test_an_order_that_was_held_up_does_not_start_beside_the_new_run():
-    assert not order_held_up().broken
+    assert not order_held_up().violations
 
 
 AGAINST_OLD_ORDERS = [
@@ -77,7 +77,7 @@
     for number, safeguard in enumerate(AGAINST_OLD_ORDERS):
         if number != kept:
             monkeypatch.setattr(*safeguard)
-    assert not order_held_up().broken
+    assert not order_held_up().violations
 
 
 def test_an_order_older_than_its_bound_is_refused():
@@ -92,7 +92,7 @@
 
 
 def assert_nothing_broken(world: World) -> None:
-    assert not world.broken
+    assert not world.violations
 
 
 SAFEGUARDS = [
@@ -213,13 +213,13 @@
         world.submit("entry0", "r1", job("j1", count=1))
         world.run(ms(50))
         world.silent_workers.add("side0")
-        world.leave("entry0", "r1")
+        world.close_request("entry0", "r1")
         world.submit("entry0", "r2", job("j1", count=1), ms(9000))
         world.run(ms(5000))
         assert world.end_of("r2") is JobEnd.COMPLETED
         return world
 
-    assert not history().broken
+    assert not history().violations
     choose = assignment._choose
 
     def careless(state, progress, task, now):
@@ -227,4 +227,4 @@
         return choose(state, progress, task, now)
 
     monkeypatch.setattr(assignment, "_choose", careless)
-    assert history().broken
+    assert history().violations
--- a/tests/runs/walk.py
+++ b/tests/runs/walk.py
@@ -19,7 +19,7 @@
 from gypsumspoke.runs.coordinator_state import AnswerJob
 from gypsumspoke.runs.values import JobEnd
 from gypsumspoke.runs.worker_commands import RenewCommand, StartCommand, StopCommand
-from tests.runs.world import Fate, World, job, ms
+from tests.runs.world import Delivery, World, job, ms
 
 ENTRIES = ("entry0", "entry1")
 SIDES = ("side0", "side1", "side2")
@@ -52,7 +52,7 @@
         self.world.run(ms(15_000))
         self._check_refusals()
         self._check_service()
-        return self.world.broken
+        return self.world.violations
 
     def _step(self) -> None:
         self.random.choice(self._steps())()
@@ -113,7 +113,7 @@
 
     def _leave_request(self, host: str, incarnation: str, request: str) -> None:
         if not self._is_lost(host, incarnation):
-            self.world.leave(host, request)
+            self.world.close_request(host, request)
 
     def _again_after_pause(self, name: str, count: int) -> None:
         host = self.random.choice(ENTRIES)
@@ -130,7 +130,7 @@
         if waiting:
             _, request = self.random.choice(waiting)
             for host in ENTRIES:
-                self.world.leave(host, request)
+                self.world.close_request(host, request)
 
     def _restart(self) -> None:
         host = self.random.choice(ENTRIES + SIDES)
@@ -195,7 +195,7 @@
         for name, tries in self.tries.items():
             ends = {self.world.end_of(request) for request in tries}
             if ends == {JobEnd.NOT_RUN} and name in started:
-                self.world.broken.append(f"{name} ran and was answered as not run")
+                self.world.violations.append(f"{name} ran and was answered as not run")
 
     def _check_service(self) -> None:
         for host in ENTRIES:
@@ -207,7 +207,7 @@
             self.world.submit(host, name, job(name, 3), ms(4000))
             self.world.run(ms(4000))
             if self.world.end_of(name) is not JobEnd.COMPLETED:
-                self.world.broken.append(f"{host} does not serve after the faults")
+                self.world.violations.append(f"{host} does not serve after the faults")
 
 
 class CutOffWalk(Walk):
@@ -273,9 +273,9 @@
         super().__init__(seed, budget)
         self.spoilt: dict[tuple[str, type], Spoilt] = {}
         self.open: dict[str, OpenRequest] = {}
-        self.world.fate = self._fate
+        self.world.delivery = self._fate
         self.world.on_answer = self._take_answer
-        self.world.wakes_with_a_tick = True
+        self.world.tick_on_wake = True
         for host in SIDES:
             self.world.clock_rate[host] = self.random.choice((1.0, 0.98))
             self.world.pace[host] = self.random.choice((1.0, 3.0, 8.0))
@@ -320,7 +320,7 @@
             self.spoilt[host, kind] = Spoilt(how, self.random.choice((0.5, 1.0)))
             self.world.at(after, partial(self.spoilt.pop, (host, kind), None))
 
-    def _fate(self, host: str, order: Any) -> Fate | None:
+    def _fate(self, host: str, order: Any) -> Delivery | None:
         spoilt = self.spoilt.get((host, type(order)))
         if spoilt is None or self.random.random() >= spoilt.share:
             return None
@@ -332,14 +332,14 @@
         match how:
             case Spoiling.ANSWER_LOST:
                 arrives = self.random.choice((0, self.random.uniform(0, 20)))
-                return Fate(ms(arrives), None, patience)
+                return Delivery(ms(arrives), None, patience)
             case Spoiling.LOST:
-                return Fate(None, None, patience)
+                return Delivery(None, None, patience)
             case Spoiling.LATE:
-                return Fate(ms(self.random.uniform(2000, 12000)), None)
+                return Delivery(ms(self.random.uniform(2000, 12000)), None)
         longest = self.random.choice((8, 80))
         arrives = ms(self.random.uniform(0, longest))
-        return Fate(arrives, ms(self.random.uniform(0, longest)))
+        return Delivery(arrives, ms(self.random.uniform(0, longest)))
 
     # Callers
 
--- a/tests/runs/worker.py
+++ b/tests/runs/worker.py
@@ -56,7 +56,7 @@
         self.highest: dict[TaskId, int] = {}
         self.count = 0
         self.stuck = False
-        self.broken: list[str] = []
+        self.violations: list[str] = []
         self.starts: list[RunId] = []
 
     def advance(self, clock: timedelta) -> None:
@@ -137,9 +137,9 @@
         for each in [*self.running.values(), *stopping]:
             held = add(held, each.room)
             if each.run.task == run.task:
-                self.broken.append(f"two runs of {run.task} on one worker")
+                self.violations.append(f"two runs of {run.task} on one worker")
         if not fits(add(held, room), self.capacity):
-            self.broken.append(f"{run} started over the capacity")
+            self.violations.append(f"{run} started over the capacity")
         self.running[run] = Running(run, room, clock, self.takes(run.task))
 
     def _end(self, run: RunId, end: RunEnd, lapsed: bool = False) -> None:
--- a/tests/runs/world.py
+++ b/tests/runs/world.py
@@ -118,7 +118,7 @@
         return self.name.rpartition("-")[0]
 
 
-class Fate(NamedTuple):
+class Delivery(NamedTuple):
     """What becomes of one order to a worker.
 
     Attributes:
@@ -161,19 +161,19 @@
         self.budget = budget
         self.now = START
         self.random = random.Random(seed)
-        self.broken: list[str] = []
+        self.violations: list[str] = []
         self.answers: dict[str, AnswerJob] = {}
         self.answered_at: dict[str, datetime] = {}
         self.log: list[tuple[datetime, str, Any]] = []
         self.processes: dict[str, Process] = {}
         self.workers: dict[str, FakeWorker] = {}
         self.all_workers: list[FakeWorker] = []
-        self.lives: dict[str, int] = {}
-        self.born_at: dict[str, datetime] = {}
+        self.worker_incarnations: dict[str, int] = {}
+        self.worker_started_at: dict[str, datetime] = {}
         self.clock_rate: dict[str, float] = {}
         self.pace: dict[str, float] = {}
         self.silent_workers: set[str] = set()
-        self.deaf_to_stops: set[str] = set()
+        self.hosts_ignoring_stops: set[str] = set()
         self.cut: set[frozenset[str]] = set()
         self.lost_share = 0.0
         self.late_share = 0.0
@@ -182,10 +182,10 @@
         self.fails: Callable[[RunId], bool] = lambda run: False
         self.costs: dict[str, Callable[[Any], timedelta]] = {}
         self.refusal_cost = ZERO
-        self.fate: Callable[[str, Any], Fate | None] = lambda host, order: None
+        self.delivery: Callable[[str, Any], Delivery | None] = lambda host, order: None
         self.on_answer: Callable[[AnswerJob], None] = lambda answer: None
         self.drained_at: dict[str, datetime] = {}
-        self.wakes_with_a_tick = False
+        self.tick_on_wake = False
         self._connected: set[frozenset[str]] = set()
         self._queue: list[tuple[datetime, int, Callable[[], None]]] = []
         self._numbers = itertools.count()
@@ -229,7 +229,7 @@
         """Start a sidecar, or the next incarnation of one."""
         state = SupervisorState(SERVICE, Directory("", ()), self.now, self.budget)
         process = self._add(host, supervisor.reduce, state)
-        self._beat(process)
+        self._send_heartbeats(process)
         return process
 
     def _add(self, host: str, reduce: Callable, state: Any) -> Process:
@@ -240,8 +240,8 @@
 
     def start_worker(self, host: str) -> None:
         """Start a worker, or its next life."""
-        self.lives[host] = self.lives.get(host, 0) + 1
-        self.born_at[host] = self.now
+        self.worker_incarnations[host] = self.worker_incarnations.get(host, 0) + 1
+        self.worker_started_at[host] = self.now
         self.clock_rate.setdefault(host, 1.0)
         pace = self.pace.setdefault(host, 1.0)
         self.workers[host] = FakeWorker(
@@ -275,7 +275,7 @@
     def _wake(self, process: Process) -> None:
         process.frozen = False
         waiting, process.backlog = process.backlog, []
-        if self.wakes_with_a_tick:
+        if self.tick_on_wake:
             self.post(process, Tick())
         for event in waiting:
             self.post(process, event)
@@ -307,7 +307,7 @@
         event = JobArrived(request, sent, ROUTE, self.now + within)
         self.post(self.processes[host], event)
 
-    def leave(self, host: str, request: str) -> None:
+    def close_request(self, host: str, request: str) -> None:
         """Close the connection of a request."""
         self.post(self.processes[host], JobCallerLeft(request))
 
@@ -432,7 +432,7 @@
 
     def _take_answer(self, answer: AnswerJob) -> None:
         if answer.request in self.answers:
-            self.broken.append(f"{answer.request} was answered twice")
+            self.violations.append(f"{answer.request} was answered twice")
         self.answers[answer.request] = answer
         self.answered_at[answer.request] = self.now
         self.on_answer(answer)
@@ -441,13 +441,13 @@
 
     def worker_clock(self, host: str) -> timedelta:
         """Return the worker's own clock."""
-        return (self.now - self.born_at[host]) * self.clock_rate[host]
+        return (self.now - self.worker_started_at[host]) * self.clock_rate[host]
 
-    def beat(self, host: str, state: WorkerReady = WorkerReady.READY) -> None:
+    def send_heartbeat(self, host: str, state: WorkerReady = WorkerReady.READY) -> None:
         """Have a worker say what it is now."""
         registration = Registration(
             id=f"w-{host}",
-            born=self.lives[host],
+            born=self.worker_incarnations[host],
             sequence=next(self._sequence),
             service=SERVICE,
             state=state,
@@ -457,23 +457,23 @@
         )
         self.post(self.processes[host], HeartbeatArrived(registration))
 
-    def _beat(self, process: Process) -> None:
+    def _send_heartbeats(self, process: Process) -> None:
         if not process.alive:
             return
         if process.host not in self.drained_at:
-            self.beat(process.host)
-        self.at(ms(1500), lambda: self._beat(process))
+            self.send_heartbeat(process.host)
+        self.at(ms(1500), lambda: self._send_heartbeats(process))
 
     def _order(self, process: Process, order: Any) -> None:
         host = process.host
         if not process.alive:
             return
-        fate = self.fate(host, order)
+        fate = self.delivery(host, order)
         if fate is not None:
             self._exchange(process, order, fate)
             return
         chance = self.random.random()
-        is_deaf = isinstance(order, StopCommand) and host in self.deaf_to_stops
+        is_deaf = isinstance(order, StopCommand) and host in self.hosts_ignoring_stops
         if is_deaf or host in self.silent_workers or chance < self.lost_share:
             self._unanswered(process, order)
             return
@@ -521,7 +521,7 @@
         delay = _wait_of(order) + COMMAND_TIMEOUT
         self.at(delay, lambda: self.post(process, event))
 
-    def _exchange(self, process: Process, order: Any, fate: Fate) -> None:
+    def _exchange(self, process: Process, order: Any, fate: Delivery) -> None:
         """Carry an order and its answer on a connection of their own."""
         exchange = Exchange(process, order, self.now)
         worker = self.workers[process.host]
@@ -530,7 +530,7 @@
         if fate.arrives is not None:
             self.at(fate.arrives, lambda: self._arrive(exchange, worker, fate))
 
-    def _arrive(self, exchange: Exchange, worker: FakeWorker, fate: Fate) -> None:
+    def _arrive(self, exchange: Exchange, worker: FakeWorker, fate: Delivery) -> None:
         host, order = exchange.process.host, exchange.order
         if worker is not self.workers[host]:
             return
@@ -556,7 +556,7 @@
             self._return(exchange, fate, failed)
 
     def _list(
-        self, exchange: Exchange, worker: FakeWorker, fate: Fate, arrived: datetime
+        self, exchange: Exchange, worker: FakeWorker, fate: Delivery, arrived: datetime
     ) -> None:
         """Make the answer to a hold when there is an end, or the wait is over."""
         host, order = exchange.process.host, exchange.order
@@ -569,7 +569,7 @@
             self.at(ms(5), lambda: self._list(exchange, worker, fate, arrived))
             return
         listed = worker.listed(clock)
-        born = self.lives[host]
+        born = self.worker_incarnations[host]
         event = RenewalAnswered(
             exchange.sent,
             clock,
@@ -582,7 +582,7 @@
         )
         self._return(exchange, fate, event)
 
-    def _return(self, exchange: Exchange, fate: Fate, event: Any) -> None:
+    def _return(self, exchange: Exchange, fate: Delivery, event: Any) -> None:
         if fate.returns is not None:
             self.at(fate.returns, lambda: self._close(exchange, event))
 
@@ -628,7 +628,7 @@
             self.at(again, lambda: self._answer_hold(process, worker, order, sent))
             return
         listed = worker.listed(clock)
-        born = self.lives[host]
+        born = self.worker_incarnations[host]
         event = RenewalAnswered(
             sent, clock, born, listed, ended, order.is_extra, order.token, order.number
         )
@@ -640,12 +640,12 @@
         at_work: dict[Any, str] = {}
         for host, worker in self.workers.items():
             worker.advance(self.worker_clock(host))
-            self.broken += worker.broken
-            worker.broken = []
+            self.violations += worker.violations
+            worker.violations = []
             for run in [*worker.running, *worker.stopping]:
                 if run.task in at_work:
                     other = at_work[run.task]
-                    self.broken.append(
+                    self.violations.append(
                         f"{self.now - START}: {run.task} runs on {other} and {host}"
                     )
                 at_work[run.task] = host
