--- a/gypsumspoke/platform/callers.py
+++ b/gypsumspoke/platform/callers.py
@@ -13,7 +13,7 @@
 from gypsumspoke.core.clock import Clock
 from gypsumspoke.core.effects import Count
 from gypsumspoke.platform.jobs import Unsupported, is_job_id, parse_job
-from gypsumspoke.runs.admission import configuration_patience, refuse_behind
+from gypsumspoke.runs.admission import configuration_timeout, refuse_overloaded
 from gypsumspoke.runs.coordinator_state import (
     AnswerJob,
     CancelJobArrived,
@@ -114,9 +114,9 @@
 
     def _answer(self, environ: Environ) -> HttpAnswer:
         if self._state.table is None:
-            patience = configuration_patience(self._state, self._clock.now())
+            patience = configuration_timeout(self._state, self._clock.now())
             self._configured.wait(patience.total_seconds())
-        if self._has_ended or self._state.left:
+        if self._has_ended or self._state.stopped:
             reason = RefusalReason.STOPPING
             return self._refuse(503, reason, "this entry stops", _RETRY_SOON)
         if self._state.table is None:
@@ -146,7 +146,7 @@
 
     def _submit(self, environ: Environ, route: Route, job_id: str) -> HttpAnswer:
         if job_id not in self._submitted:
-            refusal = refuse_behind(self._state, job_id)
+            refusal = refuse_overloaded(self._state, job_id)
             if refusal is not None:
                 detail = "this entry is behind"
                 return self._refuse(503, refusal.reason, detail, refusal.retry_after)
--- a/gypsumspoke/platform/configuration.py
+++ b/gypsumspoke/platform/configuration.py
@@ -37,7 +37,7 @@
             header_timeout=_milliseconds(limits["header_timeout_ms"]),
             idle_timeout=_milliseconds(limits["idle_timeout_ms"]),
         ),
-        guarding_services=frozenset(
+        capacity_checking_services=frozenset(
             service["name"]
             for service in fields["services"]
             if service.get("enforces_capacity")
--- a/gypsumspoke/platform/kept_patience.py
+++ b/gypsumspoke/platform/kept_patience.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from gypsumspoke.platform.store import Store, Watch
-from gypsumspoke.runs.patience import KeepPatience, PatienceRead
+from gypsumspoke.runs.caller_timeouts import CallerTimeoutsRead, StoreCallerTimeouts
 from gypsumspoke.runs.settings import RunSettings
 
 PATIENCE_TABLE = "gypsumspoke-patience"
@@ -36,7 +36,7 @@
         self._instance = settings.instance
         self.read_once(PATIENCE_TABLE, partial(_take_kept, post))
 
-    def keep_patience(self, effect: KeepPatience) -> None:
+    def keep_patience(self, effect: StoreCallerTimeouts) -> None:
         """Write this entry's row; returns at once."""
         usual = {route: value // _MILLISECOND for route, value in effect.usual}
         self.put(PATIENCE_TABLE, self._instance, json.dumps(usual).encode())
@@ -44,7 +44,7 @@
 
 def _take_kept(post: Callable[[Any], None], rows: dict[str, bytes]) -> None:
     kept = [usual for usual in map(_usual, rows.values()) if usual]
-    post(PatienceRead(tuple(kept)))
+    post(CallerTimeoutsRead(tuple(kept)))
 
 
 def _usual(value: bytes) -> dict[str, timedelta]:
--- a/gypsumspoke/platform/registration.py
+++ b/gypsumspoke/platform/registration.py
@@ -9,7 +9,7 @@
 from returns.result import Failure, Result, Success
 
 from gypsumspoke.runs.orders import HeartbeatArrived, WorkerLeft
-from gypsumspoke.runs.values import Registration, Room, WorkerReady
+from gypsumspoke.runs.values import Registration, Room, WorkerState
 from gypsumspoke.shell.http_answers import (
     Environ,
     HttpAnswer,
@@ -101,10 +101,10 @@
         raise ValueError("a field has another type")
     return Registration(
         id=worker,
-        born=int(fields.get("born", 0)),
+        incarnation=int(fields.get("born", 0)),
         sequence=int(fields["seq"]),
         service=fields["service"],
-        state=WorkerReady(fields["state"]),
+        state=WorkerState(fields["state"]),
         capacity=Room(
             int(capacity.get("cpu", 0)),
             int(capacity.get("mem_mb", 0)),
--- a/gypsumspoke/runs/admission.py
+++ b/gypsumspoke/runs/admission.py
@@ -16,24 +16,24 @@
     JobProgress,
     longest_chain,
 )
-from gypsumspoke.runs.fleet import SidecarView, fastest_pace
 from gypsumspoke.runs.placement import serves
+from gypsumspoke.runs.sidecar_views import SidecarView, fastest_pace
 from gypsumspoke.runs.values import RefusalReason
 
 # Most jobs that one entry coordinates; each holds some kilobytes.
-MOST_JOBS = 2000
+MAX_JOBS = 2000
 # Longest that a caller is told to stay away; troubles last seconds.
-LONGEST_RETRY_AFTER = timedelta(seconds=10)
+MAX_RETRY_AFTER = timedelta(seconds=10)
 # When nothing is known, such as before any worker is, a caller should ask again soon.
 DEFAULT_RETRY_AFTER = timedelta(seconds=1)
 
 
 # Workers register with a sidecar that is new to them within a second or two, and a
 # sidecar finds an entry in about a tenth of one.
-SETTLING = timedelta(seconds=2.5)
+WORKER_DISCOVERY_TIMEOUT = timedelta(seconds=2.5)
 # The first configuration comes with one answer of the store, which may be slow, or of
 # another entry.
-CONFIGURATION_SETTLING = timedelta(seconds=1)
+FIRST_CONFIGURATION_TIMEOUT = timedelta(seconds=1)
 
 
 class Refusal(NamedTuple):
@@ -43,7 +43,7 @@
     retry_after: timedelta
 
 
-def refuse_behind(state: CoordinatorState, job_id: str) -> Refusal | None:
+def refuse_overloaded(state: CoordinatorState, job_id: str) -> Refusal | None:
     """Return why a request is refused unread, or None.
 
     Asked before a request costs more than its header. Copies of a job that runs here
@@ -54,10 +54,10 @@
       state: the coordinator's state; what is refused is counted there for the logs.
       job_id: the job's id.
     """
-    if state.isolated or job_id in state.jobs or not state.load.refuses_next():
+    if state.isolated or job_id in state.jobs or not state.load_shedder.should_refuse():
         return None
-    state.refused_behind += 1
-    wait = DEFAULT_RETRY_AFTER + state.load.standing
+    state.refused_unread += 1
+    wait = DEFAULT_RETRY_AFTER + state.load_shedder.standing_lag
     return Refusal(RefusalReason.ENTRY_BEHIND, _bounded(wait))
 
 
@@ -70,9 +70,9 @@
     be a guess: after a loss of all processes it would refuse jobs that can still be
     done in time. They wait until the workers show.
     """
-    if len(state.jobs) >= MOST_JOBS:
+    if len(state.jobs) >= MAX_JOBS:
         return Refusal(RefusalReason.TOO_MANY_JOBS, DEFAULT_RETRY_AFTER)
-    if _is_settling(state, event.route.service, now):
+    if _is_discovering_workers(state, event.route.service, now):
         return None
     views = [
         view
@@ -83,11 +83,11 @@
         return Refusal(RefusalReason.NO_WORKER, DEFAULT_RETRY_AFTER)
     for step in event.job.steps:
         if not any(serves(view, event.route.service, step) for view in views):
-            return Refusal(RefusalReason.NO_WORKER_FITS, LONGEST_RETRY_AFTER)
+            return Refusal(RefusalReason.NO_WORKER_FITS, MAX_RETRY_AFTER)
     return None
 
 
-def configuration_patience(state: CoordinatorState, now: datetime) -> timedelta:
+def configuration_timeout(state: CoordinatorState, now: datetime) -> timedelta:
     """Return how long a request waits for the first configuration; zero for not at all.
 
     An entry that has just started can't tell yet whether a request has a route, and a
@@ -95,16 +95,20 @@
     they would be refused for want of a moment. An entry that is still without a
     configuration after that has no word of when one comes, and refuses at once.
     """
-    left = state.started + CONFIGURATION_SETTLING - now
+    left = state.started + FIRST_CONFIGURATION_TIMEOUT - now
     return max(left, timedelta())
 
 
-def _is_settling(state: CoordinatorState, service: str, now: datetime) -> bool:
+def _is_discovering_workers(
+    state: CoordinatorState, service: str, now: datetime
+) -> bool:
     """Return whether the entry is new and knows no worker of a service yet."""
-    return now - state.started < SETTLING and not knows_a_worker(state, service)
+    return now - state.started < WORKER_DISCOVERY_TIMEOUT and not has_worker(
+        state, service
+    )
 
 
-def knows_a_worker(state: CoordinatorState, service: str | None = None) -> bool:
+def has_worker(state: CoordinatorState, service: str | None = None) -> bool:
     """Return whether a worker, of a service or of any, takes work."""
     return any(_takes_work(view, service) for view in state.views.values())
 
@@ -117,11 +121,11 @@
     )
 
 
-def refuse_hopeless(
+def refuse_long_queue(
     state: CoordinatorState, event: JobArrived, now: datetime
 ) -> Refusal | None:
     """Return a refusal if what waits in front keeps a job beyond its deadline."""
-    if _is_settling(state, event.route.service, now):
+    if _is_discovering_workers(state, event.route.service, now):
         return None
     wait = expected_wait(state, event.route.service, event.route.priority)
     chain = longest_chain(event.job) * fastest_pace(
@@ -133,7 +137,7 @@
     return Refusal(RefusalReason.TOO_LATE, _bounded(excess))
 
 
-def refuse_late(
+def refuse_unreachable_deadline(
     state: CoordinatorState, progress: JobProgress, now: datetime
 ) -> Refusal | None:
     """Return a refusal if a job that has not run can't end before its deadline."""
@@ -171,4 +175,4 @@
 
 
 def _bounded(wait: timedelta) -> timedelta:
-    return min(max(wait, timedelta()), LONGEST_RETRY_AFTER)
+    return min(max(wait, timedelta()), MAX_RETRY_AFTER)
--- a/gypsumspoke/runs/assignment.py
+++ b/gypsumspoke/runs/assignment.py
@@ -18,27 +18,27 @@
     PlacedRun,
     TaskProgress,
 )
-from gypsumspoke.runs.fleet import SidecarView, fastest_pace, note_placed
 from gypsumspoke.runs.messages import PlaceRun
-from gypsumspoke.runs.placement import Choice, Wanted, choose, is_open_to
+from gypsumspoke.runs.placement import Choice, PlacementRequest, choose, is_open_to
+from gypsumspoke.runs.sidecar_views import SidecarView, fastest_pace, record_placement
 from gypsumspoke.runs.values import RunId
 
 # Jobs in a row that may find no room before a round ends; each costs a look at every
 # worker.
-MOST_MISSES = 6
+MAX_MISSES = 6
 
 
-def open_steps(state: CoordinatorState, progress: JobProgress) -> None:
+def enqueue_ready_steps(state: CoordinatorState, progress: JobProgress) -> None:
     """Let the tasks of all steps wait whose earlier steps are done."""
     for number, step in enumerate(progress.job.steps):
-        if progress.opened[number] or any(progress.left[i] for i in step.after):
+        if progress.released[number] or any(progress.remaining[i] for i in step.after):
             continue
-        progress.opened[number] = True
+        progress.released[number] = True
         for task in progress.tasks[number]:
-            let_wait(state, progress, task)
+            enqueue_task(state, progress, task)
 
 
-def let_wait(
+def enqueue_task(
     state: CoordinatorState, progress: JobProgress, task: TaskProgress
 ) -> None:
     """Let a task wait for a place."""
@@ -47,35 +47,37 @@
 
 def place_waiting(state: CoordinatorState, now: datetime) -> list[Effect]:
     """Place the tasks that find room now, the most urgent first."""
-    state.has_new_room = False
+    state.needs_placing_round = False
     if not state.waiting:
         return []
     effects: list[Effect] = []
     misses = 0
-    for progress in _in_order(state, now):
+    for progress in _sorted_jobs(state, now):
         before = len(state.waiting[progress.id])
         effects += _place_job(state, progress, now)
         if len(state.waiting.get(progress.id, ())) == before:
             misses += 1
-        if misses >= MOST_MISSES:
+        if misses >= MAX_MISSES:
             break
     return effects
 
 
-def _in_order(state: CoordinatorState, now: datetime) -> list[JobProgress]:
+def _sorted_jobs(state: CoordinatorState, now: datetime) -> list[JobProgress]:
     paces = {
         service: fastest_pace(state.views.values(), service)
         for service in {state.jobs[job_id].route.service for job_id in state.waiting}
     }
 
     def rank(job: JobProgress) -> tuple[int, bool, datetime]:
-        in_time = now + _time_needed(state, job) * paces[job.route.service] <= job.aim
+        in_time = (
+            now + _longest_estimate(state, job) * paces[job.route.service] <= job.due
+        )
         return (job.route.priority, not in_time, job.arrived)
 
     return sorted((state.jobs[job_id] for job_id in state.waiting), key=rank)
 
 
-def _time_needed(state: CoordinatorState, progress: JobProgress) -> timedelta:
+def _longest_estimate(state: CoordinatorState, progress: JobProgress) -> timedelta:
     """Return the longest estimate of the tasks that wait."""
     steps = {task.id.step for task in state.waiting[progress.id]}
     return max(progress.job.steps[number].estimate for number in steps)
@@ -101,20 +103,20 @@
 ) -> Choice | None:
     # An earlier run of the task, of a copy of the job that was given up, may still be
     # at work; two at once are never allowed.
-    if state.ending.get(task.id):
+    if state.withdrawn.get(task.id):
         return None
     step = progress.job.steps[task.id.step]
-    wanted = Wanted(
+    wanted = PlacementRequest(
         progress.route.service,
         step,
         RunId(task.id, task.number + 1),
-        (progress.aim - now).total_seconds(),
+        (progress.due - now).total_seconds(),
         state.remote_slowdown,
     )
     views = _allowed_views(state, progress, task)
-    if not task.avoided:
+    if not task.avoided_hosts:
         return choose(views, wanted, now)
-    fresh = [view for view in views if view.host not in task.avoided]
+    fresh = [view for view in views if view.host not in task.avoided_hosts]
     # A worker where the task failed or was refused is tried again only where no other
     # takes work at all. Tried whenever the others are full, one that refuses would get,
     # and send back, the same tasks without end.
@@ -154,8 +156,8 @@
     task.view = view
     progress.placed += 1
     state.by_run[PlacedRun(view.incarnation, run)] = progress.id
-    note_placed(view, choice.placement)
-    view.last_sent = now
+    record_placement(view, choice.placement)
+    view.last_sent_at = now
     message = PlaceRun(
         view.report.stamp,
         run,
@@ -171,7 +173,7 @@
 def _log_placed(
     progress: JobProgress, task: TaskProgress, choice: Choice, now: datetime
 ) -> Log:
-    report_age = (now - choice.view.reported).total_seconds()
+    report_age = (now - choice.view.reported_at).total_seconds()
     fields = (
         ("job", progress.job.id),
         ("step", task.id.step),
--- a/gypsumspoke/runs/patience.py
+++ b/gypsumspoke/runs/caller_timeouts.py
@@ -16,32 +16,32 @@
 from typing import NamedTuple
 
 # Requests of a route that are looked at, and how many tell anew what is usual.
-WINDOW = 200
-ENOUGH = 40
+MAX_SAMPLES = 200
+SAMPLES_PER_UPDATE = 40
 # So few callers of a route wait less than what counts as usual; a higher share would
 # take many first copies for later ones, a lower one is decided by single callers.
-SHARE_BELOW = 0.02
+USUAL_QUANTILE = 0.02
 # What others learned before is believed for as long as a process has seen little else
 # than the callers that come back after a loss.
-STORED_COUNTS_FOR = timedelta(seconds=30)
+STORED_VALID_FOR = timedelta(seconds=30)
 # A changed value is kept no more often than this, and only if it changed clearly.
-KEEP_INTERVAL = timedelta(seconds=10)
-CLEAR_CHANGE = 0.2
+STORE_INTERVAL = timedelta(seconds=10)
+MIN_RELATIVE_CHANGE = 0.2
 
 
-class KeepPatience(NamedTuple):
+class StoreCallerTimeouts(NamedTuple):
     """Effect: keep what is usual on each route, in place of what was kept before."""
 
     usual: tuple[tuple[str, timedelta], ...]
 
 
-class PatienceRead(NamedTuple):
+class CallerTimeoutsRead(NamedTuple):
     """Event: what earlier processes and other entries kept, one mapping for each."""
 
-    kept: tuple[dict[str, timedelta], ...]
+    stored: tuple[dict[str, timedelta], ...]
 
 
-class Patience:
+class CallerTimeouts:
     """What one entry knows of its callers' patience.
 
     Args:
@@ -50,55 +50,62 @@
     """
 
     def __init__(self, pause: timedelta, now: datetime) -> None:
-        self._pause = pause
+        self._min_resend_delay = pause
         self._started = now
         self._stored: dict[str, timedelta] = {}
         self._recent: dict[str, deque[timedelta]] = {}
-        self._unused: dict[str, int] = {}
+        self._samples_since_update: dict[str, int] = {}
         self._usual: dict[str, timedelta] = {}
-        self._kept: dict[str, timedelta] = {}
-        self._kept_at = now
+        self._written: dict[str, timedelta] = {}
+        self._written_at = now
 
-    def take_stored(self, event: PatienceRead) -> None:
+    def update_stored(self, event: CallerTimeoutsRead) -> None:
         """Take what was kept; of several values for a route the middle one."""
         values: dict[str, list[timedelta]] = {}
-        for usual in event.kept:
+        for usual in event.stored:
             for route, value in usual.items():
                 values.setdefault(route, []).append(value)
         self._stored = {
             route: sorted(each)[len(each) // 2] for route, each in values.items()
         }
 
-    def note(self, route: str, patience: timedelta) -> None:
+    def record(self, route: str, patience: timedelta) -> None:
         """Learn from one request."""
-        recent = self._recent.setdefault(route, deque(maxlen=WINDOW))
+        recent = self._recent.setdefault(route, deque(maxlen=MAX_SAMPLES))
         recent.append(patience)
-        self._unused[route] = self._unused.get(route, 0) + 1
-        if self._unused[route] >= ENOUGH:
-            self._unused[route] = 0
-            self._usual[route] = sorted(recent)[int(len(recent) * SHARE_BELOW)]
-
-    def waited(self, route: str, patience: timedelta, now: datetime) -> timedelta:
+        self._samples_since_update[route] = self._samples_since_update.get(route, 0) + 1
+        if self._samples_since_update[route] >= SAMPLES_PER_UPDATE:
+            self._samples_since_update[route] = 0
+            self._usual[route] = sorted(recent)[int(len(recent) * USUAL_QUANTILE)]
+
+    def waited_elsewhere(
+        self, route: str, patience: timedelta, now: datetime
+    ) -> timedelta:
         """Return how long a caller has waited elsewhere at least; zero as a rule."""
         usual = self._usual.get(route)
-        if usual is None or now - self._started < STORED_COUNTS_FOR:
+        if usual is None or now - self._started < STORED_VALID_FOR:
             usual = max(usual or timedelta(), self._stored.get(route, timedelta()))
         short_of = usual - patience
-        return max(short_of, self._pause) if short_of > timedelta() else timedelta()
+        return (
+            max(short_of, self._min_resend_delay)
+            if short_of > timedelta()
+            else timedelta()
+        )
 
-    def to_keep(self, now: datetime) -> KeepPatience | None:
+    def to_store(self, now: datetime) -> StoreCallerTimeouts | None:
         """Return what should be kept now, if it has changed clearly."""
-        if now - self._kept_at < KEEP_INTERVAL:
+        if now - self._written_at < STORE_INTERVAL:
             return None
         if not any(map(self._has_changed, self._usual)):
             return None
-        self._kept_at = now
-        self._kept = dict(self._usual)
-        return KeepPatience(tuple(sorted(self._usual.items())))
+        self._written_at = now
+        self._written = dict(self._usual)
+        return StoreCallerTimeouts(tuple(sorted(self._usual.items())))
 
     def _has_changed(self, route: str) -> bool:
-        kept = self._kept.get(route, self._stored.get(route))
+        kept = self._written.get(route, self._stored.get(route))
         return (
             kept is None
-            or abs(self._usual[route] - kept) > max(kept, self._pause) * CLEAR_CHANGE
+            or abs(self._usual[route] - kept)
+            > max(kept, self._min_resend_delay) * MIN_RELATIVE_CHANGE
         )
--- a/gypsumspoke/runs/coordinator.py
+++ b/gypsumspoke/runs/coordinator.py
@@ -25,21 +25,21 @@
 from gypsumspoke.runs import coordinator_configuration
 from gypsumspoke.runs.admission import (
     DEFAULT_RETRY_AFTER,
-    SETTLING,
+    WORKER_DISCOVERY_TIMEOUT,
     Refusal,
-    knows_a_worker,
-    refuse_hopeless,
-    refuse_late,
+    has_worker,
+    refuse_long_queue,
+    refuse_unreachable_deadline,
     refuse_unservable,
 )
-from gypsumspoke.runs.assignment import open_steps, place_waiting
-from gypsumspoke.runs.conclusion import finish, give_up, may_have_run, refuse
+from gypsumspoke.runs.assignment import enqueue_ready_steps, place_waiting
+from gypsumspoke.runs.caller_timeouts import CallerTimeoutsRead
 from gypsumspoke.runs.coordinator_sidecars import (
-    check_silent,
-    take_connected,
-    take_ended_run,
-    take_lost_connection,
-    take_worker_report,
+    check_silent_sidecars,
+    handle_connected,
+    handle_connection_lost,
+    handle_run_ended,
+    handle_worker_report,
 )
 from gypsumspoke.runs.coordinator_state import (
     CancelJobArrived,
@@ -52,6 +52,7 @@
 from gypsumspoke.runs.coordinator_stop import begin_stop, continue_stop
 from gypsumspoke.runs.directory import EntriesRead, SettingsRead
 from gypsumspoke.runs.isolation import check_isolation
+from gypsumspoke.runs.job_ends import finish, give_up, may_have_run, refuse
 from gypsumspoke.runs.messages import (
     ConfigurationOffer,
     ConfigurationRequest,
@@ -61,11 +62,10 @@
     RunMessage,
     WorkerReport,
 )
-from gypsumspoke.runs.patience import PatienceRead
 from gypsumspoke.runs.values import JobEnd, RefusalReason
 
 # A line for each refusal would cost more than the refusal.
-REFUSED_LINE_INTERVAL = timedelta(seconds=1)
+REFUSED_LOG_INTERVAL = timedelta(seconds=1)
 
 _MILLISECOND = timedelta(milliseconds=1)
 
@@ -82,11 +82,11 @@
     Returns:
       What is to be done.
     """
-    effects = take(state, event, now)
-    return [*effects, *take(state, TURN_ENDED, now)]
+    effects = handle_event(state, event, now)
+    return [*effects, *handle_event(state, TURN_ENDED, now)]
 
 
-def take(state: CoordinatorState, event: Any, now: datetime) -> list[Effect]:
+def handle_event(state: CoordinatorState, event: Any, now: datetime) -> list[Effect]:
     """Take one of several events that ``TurnEnded`` follows.
 
     Room that reports and ends bring is given out once, after all of them: a round costs
@@ -102,10 +102,10 @@
     """
     if isinstance(event, Timed):
         state.arrival, event = event
-        state.load.note(now - state.arrival.earliest, now)
+        state.load_shedder.record_lag(now - state.arrival.earliest, now)
     else:
         state.arrival = Arrival(now, now, now)
-    return _take(event, state, now)
+    return _handle(event, state, now)
 
 
 def is_ready(state: CoordinatorState, now: datetime) -> bool:
@@ -116,11 +116,11 @@
     """
     if state.table is None or state.draining is not None or state.isolated:
         return False
-    return knows_a_worker(state) or now - state.started >= SETTLING
+    return has_worker(state) or now - state.started >= WORKER_DISCOVERY_TIMEOUT
 
 
 @singledispatch
-def _take(event: Any, state: CoordinatorState, now: datetime) -> list[Effect]:
+def _handle(event: Any, state: CoordinatorState, now: datetime) -> list[Effect]:
     return []
 
 
@@ -128,22 +128,22 @@
 # Jobs
 
 
-@_take.register
+@_handle.register
 def _(event: JobArrived, state: CoordinatorState, now: datetime) -> list[Effect]:
     known = state.jobs.get(event.job.id)
     if known is not None:
-        return _attach(state, known, event)
+        return _attach_request(state, known, event)
     if state.isolated:
         refusal = Refusal(RefusalReason.ISOLATED, DEFAULT_RETRY_AFTER)
         return refuse(event.request, event.job.id, refusal, JobEnd.GIVEN_UP)
     refusal = refuse_unservable(state, event, now)
-    refusal = refusal or refuse_hopeless(state, event, now)
+    refusal = refusal or refuse_long_queue(state, event, now)
     if refusal is not None:
         return refuse(event.request, event.job.id, refusal)
     progress = JobProgress(event, now, _waited_elsewhere(state, event, now))
     state.jobs[progress.id] = progress
     state.by_request[event.request] = progress.id
-    open_steps(state, progress)
+    enqueue_ready_steps(state, progress)
     effects = place_waiting(state, now)
     return [_log_accepted(state, progress), *effects]
 
@@ -152,12 +152,12 @@
     state: CoordinatorState, event: JobArrived, now: datetime
 ) -> timedelta:
     patience = event.deadline - now
-    waited = state.patience.waited(event.route.name, patience, now)
-    state.patience.note(event.route.name, patience)
+    waited = state.caller_timeouts.waited_elsewhere(event.route.name, patience, now)
+    state.caller_timeouts.record(event.route.name, patience)
     return waited
 
 
-def _attach(
+def _attach_request(
     state: CoordinatorState, progress: JobProgress, event: JobArrived
 ) -> list[Effect]:
     """Let another copy of a job wait for the answer to the first.
@@ -171,7 +171,7 @@
     return [Log(logging.INFO, "copy attached", fields=fields)]
 
 
-@_take.register
+@_handle.register
 def _(event: JobCallerLeft, state: CoordinatorState, now: datetime) -> list[Effect]:
     progress = state.jobs.get(state.by_request.pop(event.request, ""))
     if progress is None:
@@ -183,7 +183,7 @@
     return [*effects, *place_waiting(state, now)]
 
 
-@_take.register
+@_handle.register
 def _(event: CancelJobArrived, state: CoordinatorState, now: datetime) -> list[Effect]:
     progress = state.jobs.get(event.job_id)
     if progress is None:
@@ -206,7 +206,7 @@
         ("tasks", sum(step.count for step in progress.job.steps)),
         ("placed", progress.placed),
         ("patience_ms", (progress.deadline - progress.arrived) // _MILLISECOND),
-        ("waited_ms", progress.waited // _MILLISECOND),
+        ("waited_ms", progress.waited_elsewhere // _MILLISECOND),
         ("jobs_waiting", len(state.waiting)),
         ("hosts", ",".join(sorted(hosts))),
     )
@@ -217,95 +217,97 @@
 # Messages of sidecars and other entries
 
 
-@_take.register
+@_handle.register
 def _(event: Received, state: CoordinatorState, now: datetime) -> list[Effect]:
-    return _take_message(event.message, event.sender, state, now)
+    return _handle_message(event.message, event.sender, state, now)
 
 
 @singledispatch
-def _take_message(
+def _handle_message(
     message: RunMessage, sender: str, state: CoordinatorState, now: datetime
 ) -> list[Effect]:
     return []
 
 
-_take.register(PeerConnected, take_connected)
-_take.register(PeerLost, take_lost_connection)
-_take.register(ConfigurationChanged, coordinator_configuration.take_changed)
-_take.register(Drain, begin_stop)
-_take_message.register(WorkerReport, take_worker_report)
-_take_message.register(RunEnded, take_ended_run)
-_take_message.register(ConfigurationOffer, coordinator_configuration.take_offer)
-_take_message.register(ConfigurationRequest, coordinator_configuration.take_request)
-_take_message.register(ConfigurationText, coordinator_configuration.take_text)
+_handle.register(PeerConnected, handle_connected)
+_handle.register(PeerLost, handle_connection_lost)
+_handle.register(ConfigurationChanged, coordinator_configuration.handle_changed)
+_handle.register(Drain, begin_stop)
+_handle_message.register(WorkerReport, handle_worker_report)
+_handle_message.register(RunEnded, handle_run_ended)
+_handle_message.register(ConfigurationOffer, coordinator_configuration.handle_offer)
+_handle_message.register(ConfigurationRequest, coordinator_configuration.handle_request)
+_handle_message.register(ConfigurationText, coordinator_configuration.handle_text)
 
 
 # ---------------------------------------------------------------------------
 # Whom to connect to
 
 
-@_take.register
+@_handle.register
 def _(event: EntriesRead, state: CoordinatorState, now: datetime) -> list[Effect]:
-    return state.directory.take_stored(event.addresses)
+    return state.directory.update_from_store(event.addresses)
 
 
-@_take.register
-def _(event: PatienceRead, state: CoordinatorState, now: datetime) -> list[Effect]:
-    state.patience.take_stored(event)
-    fields = (("entries", len(event.kept)),)
+@_handle.register
+def _(
+    event: CallerTimeoutsRead, state: CoordinatorState, now: datetime
+) -> list[Effect]:
+    state.caller_timeouts.update_stored(event)
+    fields = (("entries", len(event.stored)),)
     return [Log(logging.INFO, "usual patience read", fields=fields)]
 
 
-@_take.register
+@_handle.register
 def _(event: SettingsRead, state: CoordinatorState, now: datetime) -> list[Effect]:
-    return state.directory.take_given(event.known_entries)
+    return state.directory.update_from_settings(event.known_entries)
 
 
-@_take_message.register
+@_handle_message.register
 def _(
     message: KnownEntries, sender: str, state: CoordinatorState, now: datetime
 ) -> list[Effect]:
-    return state.directory.take_told(message.addresses)
+    return state.directory.update_from_peer(message.addresses)
 
 
 # ---------------------------------------------------------------------------
 # Time
 
 
-@_take.register
+@_handle.register
 def _(event: TurnEnded, state: CoordinatorState, now: datetime) -> list[Effect]:
-    return place_waiting(state, now) if state.has_new_room else []
+    return place_waiting(state, now) if state.needs_placing_round else []
 
 
-@_take.register
+@_handle.register
 def _(event: Tick, state: CoordinatorState, now: datetime) -> list[Effect]:
     effects = check_isolation(state, now)
-    effects += check_silent(state, now)
-    effects += _tell_refused(state, now)
-    effects += _give_up_hopeless(state, now)
-    keep = state.patience.to_keep(now)
+    effects += check_silent_sidecars(state, now)
+    effects += _log_refused_unread(state, now)
+    effects += _end_overdue_jobs(state, now)
+    keep = state.caller_timeouts.to_store(now)
     if keep is not None:
         effects.append(keep)
     effects += place_waiting(state, now)
     return [*effects, *continue_stop(state, now)]
 
 
-def _tell_refused(state: CoordinatorState, now: datetime) -> list[Effect]:
+def _log_refused_unread(state: CoordinatorState, now: datetime) -> list[Effect]:
     """Return the log line of the jobs that were refused unread."""
-    since = now - state.refused_behind_told
-    if not state.refused_behind or since < REFUSED_LINE_INTERVAL:
+    since = now - state.refused_unread_logged_at
+    if not state.refused_unread or since < REFUSED_LOG_INTERVAL:
         return []
     fields = (
         ("reason", RefusalReason.ENTRY_BEHIND.value),
-        ("jobs", state.refused_behind),
-        ("standing_lag_ms", state.load.standing // _MILLISECOND),
+        ("jobs", state.refused_unread),
+        ("standing_lag_ms", state.load_shedder.standing_lag // _MILLISECOND),
     )
-    state.refused_behind = 0
-    state.refused_behind_told = now
+    state.refused_unread = 0
+    state.refused_unread_logged_at = now
     return [Log(logging.WARNING, "jobs refused unread", fields=fields)]
 
 
-def _give_up_hopeless(state: CoordinatorState, now: datetime) -> list[Effect]:
+def _end_overdue_jobs(state: CoordinatorState, now: datetime) -> list[Effect]:
     """Answer jobs that can't end before their deadline any more."""
     effects: list[Effect] = []
     for progress in list(state.jobs.values()):
@@ -313,7 +315,7 @@
             reason = RefusalReason.DEADLINE_EXCEEDED
             effects += give_up(state, progress, reason, now)
         elif not may_have_run(progress):
-            refusal = refuse_late(state, progress, now)
+            refusal = refuse_unreachable_deadline(state, progress, now)
             if refusal is not None:
                 wait = refusal.retry_after
                 effects += give_up(state, progress, refusal.reason, now, wait)
--- a/gypsumspoke/runs/coordinator_configuration.py
+++ b/gypsumspoke/runs/coordinator_configuration.py
@@ -23,7 +23,7 @@
 from gypsumspoke.runs.routing import RoutingTable
 
 
-def take_changed(
+def handle_changed(
     event: ConfigurationChanged, state: CoordinatorState, now: datetime
 ) -> list[Effect]:
     """Take what the store holds."""
@@ -49,7 +49,7 @@
     return effects
 
 
-def take_offer(
+def handle_offer(
     message: ConfigurationOffer, sender: str, state: CoordinatorState, now: datetime
 ) -> list[Effect]:
     """Ask another entry for its configuration if that is newer."""
@@ -59,7 +59,7 @@
     return [Send(sender, ConfigurationRequest())]
 
 
-def take_request(
+def handle_request(
     message: ConfigurationRequest, sender: str, state: CoordinatorState, now: datetime
 ) -> list[Effect]:
     """Send the configuration in force, if there is one."""
@@ -68,7 +68,7 @@
     return [Send(sender, ConfigurationText(state.version, state.text))]
 
 
-def take_text(
+def handle_text(
     message: ConfigurationText, sender: str, state: CoordinatorState, now: datetime
 ) -> list[Effect]:
     """Take the configuration of another entry."""
--- a/gypsumspoke/runs/coordinator_sidecars.py
+++ b/gypsumspoke/runs/coordinator_sidecars.py
@@ -6,15 +6,7 @@
 from gypsumspoke.core.effects import Effect, Log, Send
 from gypsumspoke.core.events import PeerConnected, PeerLost
 from gypsumspoke.runs.coordinator_state import CoordinatorState, PlacedRun
-from gypsumspoke.runs.fleet import (
-    SidecarView,
-    is_better,
-    note_ended,
-    offer_of,
-    restart_connection,
-    take_report,
-)
-from gypsumspoke.runs.isolation import note_heard
+from gypsumspoke.runs.isolation import end_isolation
 from gypsumspoke.runs.messages import (
     AskRun,
     ConfigurationOffer,
@@ -24,17 +16,25 @@
     WithdrawRun,
     WorkerReport,
 )
-from gypsumspoke.runs.run_ends import take_run_end
+from gypsumspoke.runs.run_ends import handle_run_end
+from gypsumspoke.runs.sidecar_views import (
+    SidecarView,
+    make_offer,
+    may_allow_placement,
+    record_run_end,
+    restart_connection,
+    update_report,
+)
 from gypsumspoke.runs.values import EndReason, RunEnd
 
 # A sidecar that is gone is forgotten after this; its runs are long dead.
-FORGET_AFTER = timedelta(seconds=30)
+FORGET_DELAY = timedelta(seconds=30)
 # A sidecar without runs of this entry needs no proof that it lives; this only tells it
 # that the connection still works, twice before it would take it for dead.
 IDLE_PULSE_INTERVAL = timedelta(milliseconds=250)
 
 
-def take_connected(
+def handle_connected(
     event: PeerConnected, state: CoordinatorState, now: datetime
 ) -> list[Effect]:
     """Greet a peer; ask a known sidecar what became of the runs placed there."""
@@ -45,7 +45,7 @@
     view = state.views.get(event.incarnation)
     if view is not None:
         restart_connection(view, state.arrival.read)
-        state.lost.discard(event.incarnation)
+        state.disconnected.discard(event.incarnation)
         # Ends may have been lost with the earlier connection, and so may placements.
         for run in view.open_runs:
             is_wanted = PlacedRun(event.incarnation, run) in state.by_run
@@ -54,7 +54,7 @@
     return effects
 
 
-def take_lost_connection(
+def handle_connection_lost(
     event: PeerLost, state: CoordinatorState, now: datetime
 ) -> list[Effect]:
     """Place nothing there any more; what runs there goes on until it is known dead."""
@@ -63,34 +63,34 @@
     if view is None:
         return []
     view.connected = False
-    state.lost.add(event.incarnation)
+    state.disconnected.add(event.incarnation)
     fields = (("sidecar", event.incarnation), ("open_runs", len(view.open_runs)))
     return [Log(logging.WARNING, "sidecar lost", fields=fields)]
 
 
-def take_worker_report(
+def handle_worker_report(
     message: WorkerReport, sender: str, state: CoordinatorState, now: datetime
 ) -> list[Effect]:
     """Take what a sidecar says of its worker."""
     view = state.views.get(sender)
-    effects = note_heard(state)
+    effects = end_isolation(state)
     if view is None:
-        view = SidecarView(sender, host_of(sender), now, state.budget)
+        view = SidecarView(sender, instance_name(sender), now, state.budget)
         state.views[sender] = view
         fields = (("sidecar", sender), ("worker", message.worker))
         effects.append(Log(logging.INFO, "sidecar found", fields=fields))
     was_taking = view.report is not None and view.report.takes_work
-    before = offer_of(view, now) if state.waiting else None
-    take_report(view, message, state.arrival.read)
-    if state.waiting and is_better(offer_of(view, now), before):
-        state.has_new_room = True
-    if now - view.last_sent >= _pulse_interval(state, view):
-        view.last_sent = now
+    before = make_offer(view, now) if state.waiting else None
+    update_report(view, message, state.arrival.read)
+    if state.waiting and may_allow_placement(make_offer(view, now), before):
+        state.needs_placing_round = True
+    if now - view.last_sent_at >= _pulse_interval(state, view):
+        view.last_sent_at = now
         effects.append(Send(sender, Pulse(message.stamp)))
     if was_taking is not message.takes_work:
-        effects.append(_log_taking(view))
+        effects.append(_log_changed(view))
     if message.clean:
-        effects += _end_replaced(state, view, now)
+        effects += _end_runs_of_replaced(state, view, now)
     return effects
 
 
@@ -100,7 +100,7 @@
     return interval if view.open_runs else max(interval, IDLE_PULSE_INTERVAL)
 
 
-def _log_taking(view: SidecarView) -> Log:
+def _log_changed(view: SidecarView) -> Log:
     fields = (
         ("sidecar", view.incarnation),
         ("worker", view.report.worker),
@@ -110,23 +110,23 @@
     return Log(logging.INFO, "sidecar changed", fields=fields)
 
 
-def take_ended_run(
+def handle_run_ended(
     message: RunEnded, sender: str, state: CoordinatorState, now: datetime
 ) -> list[Effect]:
     """Free the room of a run and go on with its task."""
     view = state.views.get(sender)
     if view is not None:
-        note_ended(view, message.run, ran=message.took is not None)
-    state.has_new_room = True
-    return take_run_end(state, message, sender, now)
+        record_run_end(view, message.run, ran=message.took is not None)
+    state.needs_placing_round = True
+    return handle_run_end(state, message, sender, now)
 
 
-def host_of(incarnation: str) -> str:
+def instance_name(incarnation: str) -> str:
     """Return the name of the instance that a process runs on."""
     return incarnation.rpartition("-")[0]
 
 
-def _end_replaced(
+def _end_runs_of_replaced(
     state: CoordinatorState, view: SidecarView, now: datetime
 ) -> list[Effect]:
     """Give up what was placed on earlier processes of the same instance.
@@ -137,15 +137,15 @@
     effects: list[Effect] = []
     # Few are lost at any time; to look at all sidecars at each report of each would
     # cost an entry processor time that grows with the square of their number.
-    for incarnation in sorted(state.lost):
+    for incarnation in sorted(state.disconnected):
         other = state.views[incarnation]
-        if other.host == view.host and other.found < view.found:
-            effects += _take_lost(state, other, now)
+        if other.host == view.host and other.first_seen < view.first_seen:
+            effects += _end_lost_runs(state, other, now)
             _forget(state, other)
     return effects
 
 
-def check_silent(state: CoordinatorState, now: datetime) -> list[Effect]:
+def check_silent_sidecars(state: CoordinatorState, now: datetime) -> list[Effect]:
     """Give up what silent sidecars ran, and forget those that are gone.
 
     What an entry that is behind has not read yet is no silence.
@@ -154,25 +154,25 @@
     heard = state.arrival.heard
     for view in list(state.views.values()):
         if view.open_runs and heard >= view.runs_dead_at:
-            effects += _take_lost(state, view, now)
-        if not view.connected and heard >= view.reported + FORGET_AFTER:
+            effects += _end_lost_runs(state, view, now)
+        if not view.connected and heard >= view.reported_at + FORGET_DELAY:
             _forget(state, view)
     return effects
 
 
 def _forget(state: CoordinatorState, view: SidecarView) -> None:
     del state.views[view.incarnation]
-    state.lost.discard(view.incarnation)
+    state.disconnected.discard(view.incarnation)
 
 
-def _take_lost(
+def _end_lost_runs(
     state: CoordinatorState, view: SidecarView, now: datetime
 ) -> list[Effect]:
     """Place again what was placed on a sidecar whose runs are all dead."""
-    state.has_new_room = True
+    state.needs_placing_round = True
     effects: list[Effect] = []
     for run in list(view.open_runs):
-        note_ended(view, run, ran=False)
+        record_run_end(view, run, ran=False)
         lost = RunEnded(run, RunEnd.LOST, EndReason.SIDECAR_SILENT)
-        effects += take_run_end(state, lost, view.incarnation, now)
+        effects += handle_run_end(state, lost, view.incarnation, now)
     return effects
--- a/gypsumspoke/runs/coordinator_state.py
+++ b/gypsumspoke/runs/coordinator_state.py
@@ -8,11 +8,11 @@
 
 from gypsumspoke.core.events import Arrival
 from gypsumspoke.runs.budget import DEFAULT_BUDGET, Budget
+from gypsumspoke.runs.caller_timeouts import CallerTimeouts
 from gypsumspoke.runs.directory import Directory
-from gypsumspoke.runs.fleet import SidecarView
-from gypsumspoke.runs.load import Load
-from gypsumspoke.runs.patience import Patience
+from gypsumspoke.runs.load_shedding import LoadShedder
 from gypsumspoke.runs.routing import RoutingTable
+from gypsumspoke.runs.sidecar_views import SidecarView
 from gypsumspoke.runs.values import (
     DEFAULT_REMOTE_SLOWDOWN,
     Configuration,
@@ -110,9 +110,9 @@
         self.run: RunId | None = None
         self.view: SidecarView | None = None
         self.done = False
-        self.failed = 0
+        self.failures = 0
         self.number = 0
-        self.avoided: set[str] = set()
+        self.avoided_hosts: set[str] = set()
         self.has_started = False
 
 
@@ -135,19 +135,19 @@
     def __init__(
         self, event: JobArrived, now: datetime, waited: timedelta = timedelta()
     ) -> None:
-        self.waited = waited
+        self.waited_elsewhere = waited
         self.job = event.job
         self.route = event.route
         self.requests = [event.request]
         self.arrived = now
-        self.aim = now + time_allowed(event.job, event.route) - waited
+        self.due = now + time_allowed(event.job, event.route) - waited
         self.deadline = event.deadline
         self.tasks = [
             [TaskProgress(TaskId(event.job.id, number, i)) for i in range(step.count)]
             for number, step in enumerate(event.job.steps)
         ]
-        self.left = [step.count for step in event.job.steps]
-        self.opened = [False] * len(event.job.steps)
+        self.remaining = [step.count for step in event.job.steps]
+        self.released = [False] * len(event.job.steps)
         self.placed = 0
 
     @property
@@ -217,26 +217,26 @@
         self.parse_configuration = parse_configuration
         self.started = now
         self.views: dict[str, SidecarView] = {}
-        self.lost: set[str] = set()
+        self.disconnected: set[str] = set()
         self.jobs: dict[str, JobProgress] = {}
         self.by_request: dict[str, str] = {}
         self.by_run: dict[PlacedRun, str] = {}
-        self.ending: dict[TaskId, set[PlacedRun]] = {}
+        self.withdrawn: dict[TaskId, set[PlacedRun]] = {}
         self.waiting: dict[str, list[TaskProgress]] = {}
-        self.has_new_room = False
+        self.needs_placing_round = False
         self.table: RoutingTable | None = None
         self.text = ""
         self.arrival = Arrival(now, now, now)
-        self.load = Load(budget.tick, now)
-        self.refused_behind = 0
-        self.refused_behind_told = now
-        self.ticked = now
-        self.awake_since = now
+        self.load_shedder = LoadShedder(budget.tick, now)
+        self.refused_unread = 0
+        self.refused_unread_logged_at = now
+        self.last_tick = now
+        self.running_since = now
         self.isolated = False
         self.draining: datetime | None = None
-        self.left = False
+        self.stopped = False
         self.entries: set[str] = set()
-        self.patience = Patience(budget.bounds.resend, now)
+        self.caller_timeouts = CallerTimeouts(budget.bounds.resend, now)
         self.directory = directory
 
     @property
--- a/gypsumspoke/runs/directory.py
+++ b/gypsumspoke/runs/directory.py
@@ -11,7 +11,7 @@
 
 # An address is never forgotten while the process lives, but only so many are kept:
 # dialling one that is gone for good costs a few packets a second.
-MOST_ADDRESSES = 64
+MAX_ADDRESSES = 64
 
 
 class EntriesRead(NamedTuple):
@@ -42,17 +42,17 @@
 
     def __init__(self, own: str, given: tuple[str, ...]) -> None:
         self._own = own
-        self._given = given
+        self._configured = given
         self._stored: tuple[str, ...] = ()
-        self._told: dict[str, None] = {}
+        self._from_peers: dict[str, None] = {}
 
     @property
     def known(self) -> tuple[str, ...]:
         """All addresses that peers should know, the own one included."""
         own = (self._own,) if self._own else ()
-        told = tuple(self._told)
-        merged = dict.fromkeys((*own, *self._stored, *told, *self._given))
-        return tuple(merged)[:MOST_ADDRESSES]
+        told = tuple(self._from_peers)
+        merged = dict.fromkeys((*own, *self._stored, *told, *self._configured))
+        return tuple(merged)[:MAX_ADDRESSES]
 
     @property
     def to_dial(self) -> tuple[str, ...]:
@@ -63,24 +63,24 @@
         """
         return tuple(address for address in self.known if address > self._own)
 
-    def take_stored(self, addresses: tuple[str, ...]) -> list[Effect]:
+    def update_from_store(self, addresses: tuple[str, ...]) -> list[Effect]:
         """Take the addresses in the store."""
         before = self.to_dial
         self._stored = addresses
         return self._changed(before)
 
-    def take_given(self, addresses: tuple[str, ...]) -> list[Effect]:
+    def update_from_settings(self, addresses: tuple[str, ...]) -> list[Effect]:
         """Take the addresses of changed settings in place of the former ones."""
         before = self.to_dial
-        self._given = addresses
+        self._configured = addresses
         return self._changed(before)
 
-    def take_told(self, addresses: tuple[str, ...]) -> list[Effect]:
+    def update_from_peer(self, addresses: tuple[str, ...]) -> list[Effect]:
         """Take the addresses that a peer knows."""
         before = self.to_dial
         for address in addresses:
-            if len(self._told) < MOST_ADDRESSES:
-                self._told[address] = None
+            if len(self._from_peers) < MAX_ADDRESSES:
+                self._from_peers[address] = None
         return self._changed(before)
 
     def _changed(self, before: tuple[str, ...]) -> list[Effect]:
--- a/gypsumspoke/runs/guard.py
+++ b/gypsumspoke/runs/guard.py
@@ -44,7 +44,7 @@
     OrderAnswered,
     WorkerLeft,
 )
-from gypsumspoke.runs.values import EndReason, WorkerReady
+from gypsumspoke.runs.values import EndReason, WorkerState
 
 
 def reduce(state: GuardState, event: Any, now: datetime) -> list[Effect]:
@@ -91,7 +91,7 @@
 @_take.register
 def _(event: HeartbeatArrived, state: GuardState, now: datetime) -> list[Effect]:
     effects = guard_life.take_registration(state, event.registration, now)
-    if state.worker and state.worker.state is WorkerReady.DRAINING:
+    if state.worker and state.worker.state is WorkerState.DRAINING:
         effects += refuse_waiting(state, EndReason.WORKER_DRAINING, now)
     return [*effects, *start_waiting(state, now)]
 
@@ -100,7 +100,7 @@
 def _(event: WorkerLeft, state: GuardState, now: datetime) -> list[Effect]:
     if state.worker is None or state.worker.id != event.id:
         return []
-    state.worker = state.worker._replace(state=WorkerReady.DRAINING)
+    state.worker = state.worker._replace(state=WorkerState.DRAINING)
     log = Log(logging.INFO, "worker left", fields=(("worker", event.id),))
     return [log, *refuse_waiting(state, EndReason.WORKER_DRAINING, now)]
 
@@ -136,12 +136,12 @@
 
 @_take.register
 def _(event: EntriesRead, state: GuardState, now: datetime) -> list[Effect]:
-    return state.directory.take_stored(event.addresses)
+    return state.directory.update_from_store(event.addresses)
 
 
 @_take.register
 def _(event: SettingsRead, state: GuardState, now: datetime) -> list[Effect]:
-    return state.directory.take_given(event.known_entries)
+    return state.directory.update_from_settings(event.known_entries)
 
 
 # ---------------------------------------------------------------------------
@@ -165,7 +165,7 @@
 def _(
     message: KnownEntries, sender: str, state: GuardState, now: datetime
 ) -> list[Effect]:
-    return state.directory.take_told(message.addresses)
+    return state.directory.update_from_peer(message.addresses)
 
 
 def _stop_runs_of_silent_entries(state: GuardState, now: datetime) -> list[Effect]:
--- a/gypsumspoke/runs/guard_life.py
+++ b/gypsumspoke/runs/guard_life.py
@@ -19,13 +19,13 @@
     known = state.worker
     if known is not None and _is_older(registration, known):
         return []
-    if state.born is not None and registration.born < state.born:
+    if state.born is not None and registration.incarnation < state.born:
         # A list of the worker has shown a later life already.
         return []
     effects: list[Effect] = []
-    if known is None or registration.born != known.born:
+    if known is None or registration.incarnation != known.incarnation:
         effects += _log_registration(registration)
-        take_life(state, registration.born, now)
+        take_life(state, registration.incarnation, now)
     elif registration.state is not known.state:
         effects += _log_registration(registration)
     state.worker = registration
@@ -37,15 +37,15 @@
 
     One that a cut held up may arrive after its sender has crashed and started again.
     """
-    if registration.born != known.born:
-        return registration.born < known.born
+    if registration.incarnation != known.incarnation:
+        return registration.incarnation < known.incarnation
     return registration.sequence <= known.sequence
 
 
 def _log_registration(registration: Registration) -> list[Effect]:
     fields = (
         ("worker", registration.id),
-        ("born", registration.born),
+        ("born", registration.incarnation),
         ("sequence", registration.sequence),
         ("state", registration.state.value),
         ("cpu", registration.capacity.cpu),
--- a/gypsumspoke/runs/guard_placing.py
+++ b/gypsumspoke/runs/guard_placing.py
@@ -19,7 +19,7 @@
 )
 from gypsumspoke.runs.guard_waiting import start_waiting
 from gypsumspoke.runs.messages import AskRun, PlaceRun, RunEnded, WithdrawRun
-from gypsumspoke.runs.values import EndReason, RunEnd, RunId, WorkerReady, fits
+from gypsumspoke.runs.values import EndReason, RunEnd, RunId, WorkerState, fits
 
 
 def take_placed(
@@ -110,7 +110,7 @@
         return EndReason.SIDECAR_STOPPING
     if state.worker is None:
         return EndReason.WORKER_UNKNOWN
-    if state.worker.state is WorkerReady.DRAINING:
+    if state.worker.state is WorkerState.DRAINING:
         return EndReason.WORKER_DRAINING
     if not fits(message.room, state.worker.capacity):
         return EndReason.NO_ROOM_EVER
--- a/gypsumspoke/runs/guard_report.py
+++ b/gypsumspoke/runs/guard_report.py
@@ -6,7 +6,7 @@
 from gypsumspoke.core.effects import Effect, Send
 from gypsumspoke.runs.guard_state import GuardState, Told
 from gypsumspoke.runs.messages import WorkerReport
-from gypsumspoke.runs.values import NO_ROOM, WorkerReady, subtract
+from gypsumspoke.runs.values import NO_ROOM, WorkerState, subtract
 
 # A changed room is reported this often at most: each report costs an entry processor
 # time, and a busy worker's room changes with each start and end.
@@ -28,7 +28,7 @@
     """Return whether the worker may be told to start something now."""
     return (
         state.worker is not None
-        and state.worker.state is WorkerReady.READY
+        and state.worker.state is WorkerState.READY
         and state.draining is None
         and state.knows_all_runs
         and state.token > 0
--- a/gypsumspoke/runs/isolation.py
+++ b/gypsumspoke/runs/isolation.py
@@ -11,29 +11,29 @@
 from datetime import datetime, timedelta
 
 from gypsumspoke.core.effects import Effect, Log
-from gypsumspoke.runs.conclusion import finish
 from gypsumspoke.runs.coordinator_state import CoordinatorState
+from gypsumspoke.runs.job_ends import finish
 from gypsumspoke.runs.values import JobEnd, RefusalReason
 
 # Longer than it takes to close connections that went silent and to make new ones: no
 # sidecar at all is heard then, and yet none is out of reach.
-ISOLATED_AFTER = timedelta(milliseconds=1250)
+ISOLATION_TIMEOUT = timedelta(milliseconds=1250)
 # Several ticks. After a longer pause of this process what the sidecars sent meanwhile
 # is still unread, and their silence says nothing.
-PAUSED_AFTER = timedelta(milliseconds=500)
+MIN_PROCESS_PAUSE = timedelta(milliseconds=500)
 
 
 def check_isolation(state: CoordinatorState, now: datetime) -> list[Effect]:
     """Give up all jobs if no sidecar was heard for too long. Called at each tick."""
-    if now - state.ticked > PAUSED_AFTER:
-        state.awake_since = now
-    state.ticked = now
+    if now - state.last_tick > MIN_PROCESS_PAUSE:
+        state.running_since = now
+    state.last_tick = now
     if state.isolated or not state.views:
         return []
-    heard = max(view.reported for view in state.views.values())
+    heard = max(view.reported_at for view in state.views.values())
     # What this entry has not read yet, being behind, is no silence of the sidecars.
-    silence = state.arrival.heard - max(heard, state.awake_since)
-    if silence < ISOLATED_AFTER:
+    silence = state.arrival.heard - max(heard, state.running_since)
+    if silence < ISOLATION_TIMEOUT:
         return []
     state.isolated = True
     fields = (
@@ -48,7 +48,7 @@
     return effects
 
 
-def note_heard(state: CoordinatorState) -> list[Effect]:
+def end_isolation(state: CoordinatorState) -> list[Effect]:
     """Take jobs again: a sidecar was heard."""
     if not state.isolated:
         return []
--- a/gypsumspoke/runs/conclusion.py
+++ b/gypsumspoke/runs/job_ends.py
@@ -73,7 +73,7 @@
             effects += withdraw(state, task)
     del state.jobs[progress.id]
     state.waiting.pop(progress.id, None)
-    effects += _tell(progress, end, reason, now)
+    effects += _report_end(progress, end, reason, now)
     if end in _FINAL_ENDS:
         retry_after = None
     for request in progress.requests:
@@ -89,11 +89,11 @@
     placed = PlacedRun(task.view.incarnation, task.run)
     if state.by_run.pop(placed, None) is None:
         return []
-    state.ending.setdefault(task.id, set()).add(placed)
+    state.withdrawn.setdefault(task.id, set()).add(placed)
     return [Send(placed.sidecar, WithdrawRun(placed.run))]
 
 
-def _tell(
+def _report_end(
     progress: JobProgress, end: JobEnd, reason: RefusalReason | None, now: datetime
 ) -> list[Effect]:
     took = (now - progress.arrived) / _MILLISECOND
@@ -104,7 +104,7 @@
         ("end", end.value),
         ("reason", reason.value if reason else ""),
         ("took_ms", round(took, 1)),
-        ("late", now > progress.aim),
+        ("late", now > progress.due),
         ("runs", progress.placed),
     )
     effects: list[Effect] = [
--- a/gypsumspoke/runs/load.py
+++ b/gypsumspoke/runs/load_shedding.py
@@ -14,15 +14,15 @@
 from datetime import datetime, timedelta
 
 # The standing lag is the smallest of one to two such spans.
-SPAN_TICKS = 2.0
+WINDOW_TICKS = 2.0
 # From this standing lag on new jobs are refused, the more the larger it is. At one tick
 # all are: a report may be a tick and a half old, and an order that is decided on it a
 # tick later is still taken, within ORDER_FRESH_TICKS.
-FIRST_REFUSALS_TICKS = 0.25
-ALL_REFUSED_TICKS = 1.0
+MIN_REFUSING_LAG_TICKS = 0.25
+FULL_REFUSING_LAG_TICKS = 1.0
 
 
-class Load:
+class LoadShedder:
     """How far an entry is behind.
 
     Args:
@@ -31,37 +31,44 @@
     """
 
     def __init__(self, tick: timedelta, now: datetime) -> None:
-        self._span = tick * SPAN_TICKS
-        self._first = tick * FIRST_REFUSALS_TICKS
-        self._all = tick * ALL_REFUSED_TICKS
-        self._since = now
-        self._smallest: timedelta | None = None
-        self._smallest_before = timedelta()
+        self._window = tick * WINDOW_TICKS
+        self._min_refusing_lag = tick * MIN_REFUSING_LAG_TICKS
+        self._full_refusing_lag = tick * FULL_REFUSING_LAG_TICKS
+        self._window_start = now
+        self._min_lag: timedelta | None = None
+        self._previous_min_lag = timedelta()
         self._credit = 0.0
 
     @property
-    def standing(self) -> timedelta:
+    def standing_lag(self) -> timedelta:
         """The lag that does not go away between two bursts."""
-        if self._smallest is None:
-            return self._smallest_before
-        return min(self._smallest, self._smallest_before)
+        if self._min_lag is None:
+            return self._previous_min_lag
+        return min(self._min_lag, self._previous_min_lag)
 
-    def note(self, lag: timedelta, now: datetime) -> None:
+    def record_lag(self, lag: timedelta, now: datetime) -> None:
         """Take the lag of an event that is handled now."""
-        if now - self._since >= self._span:
-            if self._smallest is not None:
-                self._smallest_before = self._smallest
-            self._smallest = None
-            self._since = now
-        if self._smallest is None or lag < self._smallest:
-            self._smallest = lag
+        if now - self._window_start >= self._window:
+            if self._min_lag is not None:
+                self._previous_min_lag = self._min_lag
+            self._min_lag = None
+            self._window_start = now
+        if self._min_lag is None or lag < self._min_lag:
+            self._min_lag = lag
 
     @property
     def refused_share(self) -> float:
         """Share of the new jobs that is refused now."""
-        return min(max((self.standing - self._first) / (self._all - self._first), 0), 1)
+        return min(
+            max(
+                (self.standing_lag - self._min_refusing_lag)
+                / (self._full_refusing_lag - self._min_refusing_lag),
+                0,
+            ),
+            1,
+        )
 
-    def refuses_next(self) -> bool:
+    def should_refuse(self) -> bool:
         """Return whether the next new job is refused, so that the share is."""
         share = self.refused_share
         self._credit = self._credit + share if share else 0.0
--- a/gypsumspoke/runs/placement.py
+++ b/gypsumspoke/runs/placement.py
@@ -13,13 +13,13 @@
 from datetime import datetime
 from typing import NamedTuple
 
-from gypsumspoke.runs.fleet import Placement, SidecarView, is_open
+from gypsumspoke.runs.sidecar_views import Placement, SidecarView, is_open
 from gypsumspoke.runs.values import DEFAULT_REMOTE_SLOWDOWN, RunId, Step, fits
 
 # Messages, the start and the answer take some milliseconds of what a job may take.
 OVERHEAD_SECONDS = 0.015
 # Keeps the cost of the last free piece of a worker finite.
-LEAST_FREE_SHARE = 0.02
+MIN_FREE_SHARE = 0.02
 
 
 class Choice(NamedTuple):
@@ -36,7 +36,7 @@
     placement: Placement
 
 
-class Wanted(NamedTuple):
+class PlacementRequest(NamedTuple):
     """A task that looks for a worker.
 
     Attributes:
@@ -65,13 +65,13 @@
     )
 
 
-def is_open_to(view: SidecarView, wanted: Wanted, now: datetime) -> bool:
+def is_open_to(view: SidecarView, wanted: PlacementRequest, now: datetime) -> bool:
     """Return whether a sidecar takes such a task, now or when it has room."""
     return serves(view, wanted.service, wanted.step) and is_open(view, now)
 
 
 def choose(
-    views: Iterable[SidecarView], wanted: Wanted, now: datetime
+    views: Iterable[SidecarView], wanted: PlacementRequest, now: datetime
 ) -> Choice | None:
     """Return the sidecar for a task, or None to let it wait.
 
@@ -108,23 +108,25 @@
     return Choice(best, best_seconds, Placement(wanted.run, step.room))
 
 
-def _is_worth_waiting(view: SidecarView, wanted: Wanted, now: datetime) -> bool:
+def _is_worth_waiting(
+    view: SidecarView, wanted: PlacementRequest, now: datetime
+) -> bool:
     """Return whether a task is in time on a worker that has no room for it now."""
     if not is_open_to(view, wanted, now):
         return False
     return _is_in_time(run_seconds(view, wanted), wanted)
 
 
-def _is_in_time(seconds: float, wanted: Wanted) -> bool:
+def _is_in_time(seconds: float, wanted: PlacementRequest) -> bool:
     return seconds + OVERHEAD_SECONDS <= wanted.seconds_left
 
 
 def _free_share(view: SidecarView) -> float:
     """Return the share of the worker's processors that is free, before the task."""
-    return max(view.free.cpu / max(view.report.capacity.cpu, 1), LEAST_FREE_SHARE)
+    return max(view.free.cpu / max(view.report.capacity.cpu, 1), MIN_FREE_SHARE)
 
 
-def run_seconds(view: SidecarView, wanted: Wanted) -> float:
+def run_seconds(view: SidecarView, wanted: PlacementRequest) -> float:
     """Return the expected run time of a task there."""
     step = wanted.step
     seconds = step.estimate.total_seconds() * view.pace
--- a/gypsumspoke/runs/run_ends.py
+++ b/gypsumspoke/runs/run_ends.py
@@ -3,14 +3,14 @@
 from datetime import datetime
 
 from gypsumspoke.core.effects import Count, Effect
-from gypsumspoke.runs.assignment import let_wait, open_steps
-from gypsumspoke.runs.conclusion import finish, give_up
+from gypsumspoke.runs.assignment import enqueue_ready_steps, enqueue_task
 from gypsumspoke.runs.coordinator_state import (
     CoordinatorState,
     JobProgress,
     PlacedRun,
     TaskProgress,
 )
+from gypsumspoke.runs.job_ends import finish, give_up
 from gypsumspoke.runs.messages import RunEnded
 from gypsumspoke.runs.values import EndReason, JobEnd, RefusalReason, RunEnd
 
@@ -26,44 +26,44 @@
 )
 
 
-def take_run_end(
+def handle_run_end(
     state: CoordinatorState, message: RunEnded, sidecar: str, now: datetime
 ) -> list[Effect]:
     """Go on with the task whose run ended at a sidecar."""
     placed = PlacedRun(sidecar, message.run)
-    _note_gone(state, placed)
+    _forget_withdrawn(state, placed)
     progress = state.jobs.get(state.by_run.pop(placed, ""))
     if progress is None:
         return []
     name = message.run.task
     task = progress.tasks[name.step][name.index]
     if message.end is RunEnd.DONE:
-        return _take_done(state, progress, task, now)
-    return _take_not_done(state, progress, task, message, now)
+        return _handle_done(state, progress, task, now)
+    return _handle_not_done(state, progress, task, message, now)
 
 
-def _note_gone(state: CoordinatorState, placed: PlacedRun) -> None:
+def _forget_withdrawn(state: CoordinatorState, placed: PlacedRun) -> None:
     """Forget a withdrawn run: its task may run again."""
-    ending = state.ending.get(placed.run.task)
+    ending = state.withdrawn.get(placed.run.task)
     if ending is None:
         return
     ending.discard(placed)
     if not ending:
-        del state.ending[placed.run.task]
+        del state.withdrawn[placed.run.task]
 
 
-def _take_done(
+def _handle_done(
     state: CoordinatorState, progress: JobProgress, task: TaskProgress, now: datetime
 ) -> list[Effect]:
     task.done = True
-    progress.left[task.id.step] -= 1
-    if not any(progress.left):
+    progress.remaining[task.id.step] -= 1
+    if not any(progress.remaining):
         return finish(state, progress, JobEnd.COMPLETED, None, now)
-    open_steps(state, progress)
+    enqueue_ready_steps(state, progress)
     return []
 
 
-def _take_not_done(
+def _handle_not_done(
     state: CoordinatorState,
     progress: JobProgress,
     task: TaskProgress,
@@ -78,13 +78,13 @@
     if message.reason is EndReason.NUMBER_TOO_LOW:
         task.number = max(task.number, message.highest)
     if message.end is RunEnd.FAILED:
-        task.failed += 1
-        if task.failed >= progress.route.attempts:
+        task.failures += 1
+        if task.failures >= progress.route.attempts:
             reason = RefusalReason.ATTEMPTS_EXHAUSTED
             return finish(state, progress, JobEnd.FAILED, reason, now)
     if message.reason is EndReason.SUPERSEDED:
         return give_up(state, progress, RefusalReason.SUPERSEDED, now)
     if message.reason not in _MAY_RETRY_THERE:
-        task.avoided.add(host)
-    let_wait(state, progress, task)
+        task.avoided_hosts.add(host)
+    enqueue_task(state, progress, task)
     return [Count(message.reason)]
--- a/gypsumspoke/runs/fleet.py
+++ b/gypsumspoke/runs/sidecar_views.py
@@ -15,7 +15,7 @@
 from gypsumspoke.runs.values import NO_ROOM, Room, RunId, add, fits, subtract
 
 # Run time over estimate that is assumed before the first end of a worker.
-UNKNOWN_PACE = 1.0
+DEFAULT_PACE = 1.0
 # A worker's pace may look extreme after one odd run; beyond these it is not believed.
 LOWEST_PACE, HIGHEST_PACE = 0.2, 20.0
 
@@ -53,15 +53,15 @@
         budget: Budget = DEFAULT_BUDGET,
     ) -> None:
         self.budget = budget
-        self.order_fresh = budget.order_fresh
+        self.max_report_age = budget.order_fresh
         self.incarnation = incarnation
         self.host = host
-        self.pace = UNKNOWN_PACE
+        self.pace = DEFAULT_PACE
         self._report: WorkerReport | None = None
         self._free: Room | None = None
-        self.found = now
-        self.reported = now
-        self.last_sent = now
+        self.first_seen = now
+        self.reported_at = now
+        self.last_sent_at = now
         self.connected = True
         self.sent = 0
         self.unreported: deque[tuple[int, Placement]] = deque()
@@ -76,8 +76,8 @@
     @report.setter
     def report(self, report: WorkerReport) -> None:
         self._report = report
-        self.pace = min(max(report.pace or UNKNOWN_PACE, LOWEST_PACE), HIGHEST_PACE)
-        self.forget_free()
+        self.pace = min(max(report.pace or DEFAULT_PACE, LOWEST_PACE), HIGHEST_PACE)
+        self.invalidate_free()
 
     @property
     def free(self) -> Room:
@@ -90,17 +90,17 @@
             self._free = free
         return self._free
 
-    def forget_free(self) -> None:
+    def invalidate_free(self) -> None:
         """Work the room out anew: what it is made of has changed."""
         self._free = None
 
     @property
     def runs_dead_at(self) -> datetime:
         """When all runs placed there are certainly gone if it stays silent."""
-        return self.last_sent + self.budget.runs_dead_after
+        return self.last_sent_at + self.budget.runs_dead_after
 
 
-def take_report(view: SidecarView, report: WorkerReport, read: datetime) -> None:
+def update_report(view: SidecarView, report: WorkerReport, read: datetime) -> None:
     """Take a newer report.
 
     Args:
@@ -109,22 +109,22 @@
       read: when that was read, which may be well before it is handled.
     """
     view.report = report
-    view.reported = read
+    view.reported_at = read
     view.freed = NO_ROOM
     while view.unreported and view.unreported[0][0] <= report.taken:
         view.unreported.popleft()
-    view.forget_free()
+    view.invalidate_free()
 
 
-def note_placed(view: SidecarView, placement: Placement) -> None:
+def record_placement(view: SidecarView, placement: Placement) -> None:
     """Count a placement that was just sent."""
     view.sent += 1
     view.unreported.append((view.sent, placement))
     view.open_runs[placement.run] = placement.room
-    view.forget_free()
+    view.invalidate_free()
 
 
-def note_ended(view: SidecarView, run: RunId, ran: bool) -> None:
+def record_run_end(view: SidecarView, run: RunId, ran: bool) -> None:
     """Count an end that came since the latest report."""
     room = view.open_runs.pop(run, None)
     if room is None:
@@ -133,7 +133,7 @@
     view.unreported = deque(entry for entry in view.unreported if entry[1].run != run)
     if ran and len(view.unreported) == known:
         view.freed = add(view.freed, room)
-    view.forget_free()
+    view.invalidate_free()
 
 
 def restart_connection(view: SidecarView, read: datetime) -> None:
@@ -141,8 +141,8 @@
     view.connected = True
     view.sent = 0
     view.unreported.clear()
-    view.reported = read
-    view.forget_free()
+    view.reported_at = read
+    view.invalidate_free()
 
 
 def is_open(view: SidecarView, now: datetime) -> bool:
@@ -153,7 +153,7 @@
         and view.report.takes_work
         # An order names the time of the report, and one that is older is refused. A
         # sidecar that was not heard for so long may also be frozen or cut off.
-        and now - view.reported < view.order_fresh
+        and now - view.reported_at < view.max_report_age
         # A worker that fails is tried with one run at a time.
         and not (view.report.failing and view.open_runs)
     )
@@ -175,7 +175,7 @@
     free: Room
 
 
-def offer_of(view: SidecarView, now: datetime) -> Offer | None:
+def make_offer(view: SidecarView, now: datetime) -> Offer | None:
     """Return what a sidecar offers; None before its first report."""
     report = view.report
     if report is None:
@@ -184,7 +184,7 @@
     return Offer(is_open(view, now), worker, view.pace, view.free)
 
 
-def is_better(offer: Offer, before: Offer | None) -> bool:
+def may_allow_placement(offer: Offer, before: Offer | None) -> bool:
     """Return whether a task that found no place may find one now.
 
     A worker that closes or turns slow counts too: tasks may have waited for it rather
@@ -202,4 +202,4 @@
         for view in views
         if view.report is not None and view.report.service == service
     )
-    return min(paces, default=UNKNOWN_PACE)
+    return min(paces, default=DEFAULT_PACE)
--- a/gypsumspoke/runs/values.py
+++ b/gypsumspoke/runs/values.py
@@ -153,10 +153,10 @@
     version: int
     routes: tuple[Route, ...]
     limits: RequestLimits
-    guarding_services: frozenset[str] = frozenset()
+    capacity_checking_services: frozenset[str] = frozenset()
 
 
-class WorkerReady(Enum):
+class WorkerState(Enum):
     """What a worker says of itself."""
 
     READY = "ready"
@@ -178,10 +178,10 @@
     """
 
     id: str
-    born: int
+    incarnation: int
     sequence: int
     service: str
-    state: WorkerReady
+    state: WorkerState
     capacity: Room
     labels: tuple[str, ...]
     clock: timedelta
--- a/gypsumspoke/shell/run_entry.py
+++ b/gypsumspoke/shell/run_entry.py
@@ -10,13 +10,13 @@
 
 from gypsumspoke.core.clock import Clock
 from gypsumspoke.runs import coordinator
+from gypsumspoke.runs.caller_timeouts import StoreCallerTimeouts
 from gypsumspoke.runs.coordinator_state import (
     AnswerJob,
     CoordinatorState,
     FirstConfiguration,
 )
 from gypsumspoke.runs.directory import Directory
-from gypsumspoke.runs.patience import KeepPatience
 from gypsumspoke.runs.settings import RunSettings, address_text
 from gypsumspoke.runs.values import Configuration
 from gypsumspoke.shell.caller_server import HEADER_TIMEOUT, CallerServer
@@ -34,7 +34,7 @@
 class EntryStorePort(StorePort, Protocol):
     """What an entry asks of the store."""
 
-    def keep_patience(self, effect: KeepPatience) -> None:
+    def keep_patience(self, effect: StoreCallerTimeouts) -> None:
         """Keep what was learned of callers; returns at once."""
 
 
@@ -89,7 +89,7 @@
             settings.remote_slowdown,
         )
         runtime = open_runtime(
-            settings, side, coordinator.take, state, clock, in_turns=True
+            settings, side, coordinator.handle_event, state, clock, in_turns=True
         )
         callers = adapter.open_callers(runtime.post, side.metrics.count, clock, state)
         runtime.handle(AnswerJob, callers.deliver)
@@ -105,7 +105,7 @@
         server.start()
         stack.callback(callers.give_up_all)
         store = adapter.open_store(settings, runtime.post)
-        runtime.handle(KeepPatience, store.keep_patience)
+        runtime.handle(StoreCallerTimeouts, store.keep_patience)
         return run_until_stopped(
             runtime, side, store, state.directory.to_dial, adapter.settings_file, stack
         )
--- a/tests/platform/test_callers.py
+++ b/tests/platform/test_callers.py
@@ -11,7 +11,7 @@
 
 from gypsumspoke.core.clock import ManualClock
 from gypsumspoke.platform.callers import Callers
-from gypsumspoke.runs.admission import CONFIGURATION_SETTLING
+from gypsumspoke.runs.admission import FIRST_CONFIGURATION_TIMEOUT
 from gypsumspoke.runs.coordinator_state import (
     CoordinatorState,
     FirstConfiguration,
@@ -64,7 +64,7 @@
         now = START
         for _ in range(10):
             now += self.state.budget.tick
-            self.state.load.note(self.state.budget.tick, now)
+            self.state.load_shedder.record_lag(self.state.budget.tick, now)
 
     def post(self, job_id: str) -> tuple[str, dict]:
         """Send a job that is not supported; return status line and body."""
@@ -111,7 +111,7 @@
 
 
 def test_without_a_configuration_for_long_a_request_is_refused_at_once(entry):
-    entry.clock.advance(CONFIGURATION_SETTLING)
+    entry.clock.advance(FIRST_CONFIGURATION_TIMEOUT)
     status, body = entry.get()
     assert status.startswith("503")
     assert body["reason"] == RefusalReason.NO_CONFIGURATION.value
--- a/tests/platform/test_kept_patience.py
+++ b/tests/platform/test_kept_patience.py
@@ -9,7 +9,7 @@
 import pytest
 
 from gypsumspoke.platform.kept_patience import PATIENCE_TABLE, EntryStore
-from gypsumspoke.runs.patience import KeepPatience, PatienceRead
+from gypsumspoke.runs.caller_timeouts import CallerTimeoutsRead, StoreCallerTimeouts
 from gypsumspoke.runs.settings import RunSettings
 from tests.standins.platform_store import PlatformStore
 
@@ -61,11 +61,11 @@
 
 def test_what_an_entry_kept_is_read_by_the_next_process(stand_in):
     with entry(stand_in) as (store, events):
-        wait_until(lambda: events == [PatienceRead(())])
-        store.keep_patience(KeepPatience((("checks", CHECKS),)))
+        wait_until(lambda: events == [CallerTimeoutsRead(())])
+        store.keep_patience(StoreCallerTimeouts((("checks", CHECKS),)))
         wait_until(lambda: kept(stand_in) == {"checks": 2000})
     with entry(stand_in, "front-2") as (_, events):
-        wait_until(lambda: events == [PatienceRead(({"checks": CHECKS},))])
+        wait_until(lambda: events == [CallerTimeoutsRead(({"checks": CHECKS},))])
 
 
 def test_a_row_that_can_not_be_read_hides_no_other(stand_in):
@@ -73,7 +73,7 @@
     stand_in.put(PATIENCE_TABLE, "front-2", b'["x"]')
     stand_in.put(PATIENCE_TABLE, "front-3", b'{"checks": 2000}')
     with entry(stand_in) as (_, events):
-        wait_until(lambda: events == [PatienceRead(({"checks": CHECKS},))])
+        wait_until(lambda: events == [CallerTimeoutsRead(({"checks": CHECKS},))])
 
 
 def test_the_newest_value_is_written_once_the_store_is_back(stand_in):
@@ -83,9 +83,9 @@
     with entry(stand_in) as (store, events):
         wait_until(lambda: events)
         stand_in.status = 503
-        store.keep_patience(KeepPatience((("checks", CHECKS),)))
+        store.keep_patience(StoreCallerTimeouts((("checks", CHECKS),)))
         gevent.sleep(0.05)
-        store.keep_patience(KeepPatience((("checks", 2 * CHECKS),)))
+        store.keep_patience(StoreCallerTimeouts((("checks", 2 * CHECKS),)))
         stand_in.status = None
         wait_until(lambda: kept(stand_in) == {"checks": 4000})
         gevent.sleep(0.6)
--- a/tests/runs/lone_sidecar.py
+++ b/tests/runs/lone_sidecar.py
@@ -13,7 +13,7 @@
     HoldAnswered,
     RunningRun,
 )
-from gypsumspoke.runs.values import Registration, RunId, WorkerReady
+from gypsumspoke.runs.values import Registration, RunId, WorkerState
 from tests.runs.world import CAPACITY, SERVICE, START
 
 LIFE = 7
@@ -22,7 +22,7 @@
 def registration(life: int = LIFE) -> Registration:
     """Return what the worker says of itself in the first heartbeat of a life."""
     return Registration(
-        "w-1", life, 1, SERVICE, WorkerReady.READY, CAPACITY, (), timedelta()
+        "w-1", life, 1, SERVICE, WorkerState.READY, CAPACITY, (), timedelta()
     )
 
 
--- a/tests/runs/test_patience.py
+++ b/tests/runs/test_caller_timeouts.py
@@ -2,15 +2,15 @@
 
 from datetime import timedelta
 
-from gypsumspoke.runs.coordinator_state import JobArrived
-from gypsumspoke.runs.patience import (
-    ENOUGH,
-    KEEP_INTERVAL,
-    STORED_COUNTS_FOR,
-    Patience,
-    PatienceRead,
+from gypsumspoke.runs.caller_timeouts import (
+    SAMPLES_PER_UPDATE,
+    STORE_INTERVAL,
+    STORED_VALID_FOR,
+    CallerTimeouts,
+    CallerTimeoutsRead,
 )
-from tests.runs.test_path import settled
+from gypsumspoke.runs.coordinator_state import JobArrived
+from tests.runs.test_job_lifecycle import settled
 from tests.runs.world import ROUTE, START, World, job, ms
 
 PAUSE = ms(1300)
@@ -18,27 +18,27 @@
 CHECKS = ROUTE.name
 
 
-def learned() -> Patience:
+def learned() -> CallerTimeouts:
     """Return what an entry knows whose callers wait two to three seconds."""
-    patience = Patience(PAUSE, START)
-    for number in range(3 * ENOUGH):
-        patience.note(CHECKS, USUAL + ms(10 * (number % 100)))
+    patience = CallerTimeouts(PAUSE, START)
+    for number in range(3 * SAMPLES_PER_UPDATE):
+        patience.record(CHECKS, USUAL + ms(10 * (number % 100)))
     return patience
 
 
 def test_a_caller_that_waits_less_than_others_has_waited_elsewhere():
     patience = learned()
-    assert patience.waited(CHECKS, USUAL + ms(100), START) == ms(0)
-    assert patience.waited(CHECKS, ms(1500), START) == PAUSE
-    assert patience.waited(CHECKS, ms(500), START) >= ms(1500)
-    assert patience.waited("another route", ms(500), START) == ms(0)
+    assert patience.waited_elsewhere(CHECKS, USUAL + ms(100), START) == ms(0)
+    assert patience.waited_elsewhere(CHECKS, ms(1500), START) == PAUSE
+    assert patience.waited_elsewhere(CHECKS, ms(500), START) >= ms(1500)
+    assert patience.waited_elsewhere("another route", ms(500), START) == ms(0)
 
 
 def test_nothing_is_concluded_from_a_few_callers():
-    patience = Patience(PAUSE, START)
-    for _ in range(ENOUGH - 1):
-        patience.note(CHECKS, USUAL)
-    assert patience.waited(CHECKS, ms(500), START) == ms(0)
+    patience = CallerTimeouts(PAUSE, START)
+    for _ in range(SAMPLES_PER_UPDATE - 1):
+        patience.record(CHECKS, USUAL)
+    assert patience.waited_elsewhere(CHECKS, ms(500), START) == ms(0)
 
 
 def test_callers_that_all_wait_less_from_now_on_are_new_ones_again():
@@ -46,34 +46,34 @@
     that come back, all of them would count as late for good.
     """
     patience = learned()
-    later = START + STORED_COUNTS_FOR
-    for _ in range(3 * ENOUGH):
-        patience.note(CHECKS, ms(900))
-    assert patience.waited(CHECKS, ms(900), later) == ms(0)
+    later = START + STORED_VALID_FOR
+    for _ in range(3 * SAMPLES_PER_UPDATE):
+        patience.record(CHECKS, ms(900))
+    assert patience.waited_elsewhere(CHECKS, ms(900), later) == ms(0)
 
 
 def test_what_others_kept_counts_while_a_process_is_new():
     """All entries were lost. The first callers of a new one are mostly those that come
     back, so what it learns from them is wrong; what was kept before tells them apart.
     """
-    patience = Patience(PAUSE, START)
-    kept = PatienceRead(({CHECKS: USUAL}, {CHECKS: ms(1900)}, {CHECKS: ms(9000)}))
-    patience.take_stored(kept)
-    for _ in range(2 * ENOUGH):
-        patience.note(CHECKS, ms(700))
-    assert patience.waited(CHECKS, ms(700), START + ms(1000)) == PAUSE
-    assert patience.waited(CHECKS, ms(700), START + STORED_COUNTS_FOR) == ms(0)
+    patience = CallerTimeouts(PAUSE, START)
+    kept = CallerTimeoutsRead(({CHECKS: USUAL}, {CHECKS: ms(1900)}, {CHECKS: ms(9000)}))
+    patience.update_stored(kept)
+    for _ in range(2 * SAMPLES_PER_UPDATE):
+        patience.record(CHECKS, ms(700))
+    assert patience.waited_elsewhere(CHECKS, ms(700), START + ms(1000)) == PAUSE
+    assert patience.waited_elsewhere(CHECKS, ms(700), START + STORED_VALID_FOR) == ms(0)
 
 
 def test_it_is_kept_when_it_has_changed_clearly_and_not_too_often():
     patience = learned()
-    assert patience.to_keep(START) is None
-    first = patience.to_keep(START + KEEP_INTERVAL)
+    assert patience.to_store(START) is None
+    first = patience.to_store(START + STORE_INTERVAL)
     assert first.usual == ((CHECKS, USUAL + ms(10)),)
-    assert patience.to_keep(START + 3 * KEEP_INTERVAL) is None
-    for _ in range(5 * ENOUGH):
-        patience.note(CHECKS, ms(900))
-    assert patience.to_keep(START + 3 * KEEP_INTERVAL).usual == ((CHECKS, ms(900)),)
+    assert patience.to_store(START + 3 * STORE_INTERVAL) is None
+    for _ in range(5 * SAMPLES_PER_UPDATE):
+        patience.record(CHECKS, ms(900))
+    assert patience.to_store(START + 3 * STORE_INTERVAL).usual == ((CHECKS, ms(900)),)
 
 
 def submit(world: World, name: str, within: timedelta) -> None:
@@ -89,7 +89,7 @@
     """
     world = settled(sidecars=1)
     state = world.processes["entry0"].state
-    state.patience.take_stored(PatienceRead(({CHECKS: ms(9000)},)))
+    state.caller_timeouts.update_stored(CallerTimeoutsRead(({CHECKS: ms(9000)},)))
     submit(world, "before", ms(9500))
     world.run(ms(100))
     for number in range(8):
--- a/tests/runs/test_directory.py
+++ b/tests/runs/test_directory.py
@@ -1,31 +1,31 @@
 """Whom a process connects to."""
 
-from gypsumspoke.runs.directory import MOST_ADDRESSES, DialEntries, Directory
+from gypsumspoke.runs.directory import MAX_ADDRESSES, DialEntries, Directory
 
 
 def test_a_sidecar_dials_all_that_anybody_tells_of():
     directory = Directory("", ("10.0.0.9:1",))
     assert directory.to_dial == ("10.0.0.9:1",)
-    (effect,) = directory.take_stored(("10.0.0.1:1", "10.0.0.2:1"))
+    (effect,) = directory.update_from_store(("10.0.0.1:1", "10.0.0.2:1"))
     assert set(effect.addresses) == {"10.0.0.9:1", "10.0.0.1:1", "10.0.0.2:1"}
-    (effect,) = directory.take_told(("10.0.0.3:1",))
+    (effect,) = directory.update_from_peer(("10.0.0.3:1",))
     assert "10.0.0.3:1" in effect.addresses
 
 
 def test_of_two_entries_one_dials_the_other():
     low, high = "10.0.0.1:1", "10.0.0.2:1"
     one, other = Directory(low, ()), Directory(high, ())
-    assert one.take_stored((low, high)) == [DialEntries((high,))]
-    assert other.take_stored((low, high)) == []
+    assert one.update_from_store((low, high)) == [DialEntries((high,))]
+    assert other.update_from_store((low, high)) == []
 
 
 def test_what_is_known_already_changes_nothing():
     directory = Directory("", ("10.0.0.1:1",))
-    assert directory.take_stored(("10.0.0.1:1",)) == []
-    assert directory.take_told(("10.0.0.1:1",)) == []
+    assert directory.update_from_store(("10.0.0.1:1",)) == []
+    assert directory.update_from_peer(("10.0.0.1:1",)) == []
 
 
 def test_the_number_of_addresses_is_bounded():
     directory = Directory("", ())
-    directory.take_told(tuple(f"10.0.{number}.1:1" for number in range(200)))
-    assert len(directory.known) == MOST_ADDRESSES
+    directory.update_from_peer(tuple(f"10.0.{number}.1:1" for number in range(200)))
+    assert len(directory.known) == MAX_ADDRESSES
--- a/tests/runs/test_fencing.py
+++ b/tests/runs/test_fencing.py
@@ -3,8 +3,8 @@
 from gypsumspoke.runs.orders import HoldOrder
 from gypsumspoke.runs.values import JobEnd
 from tests.runs.lone_sidecar import LIFE, LoneSidecar
+from tests.runs.test_job_lifecycle import settled
 from tests.runs.test_orphans import is_clean
-from tests.runs.test_path import settled
 from tests.runs.world import World, job, ms
 
 
--- a/tests/runs/test_path.py
+++ b/tests/runs/test_job_lifecycle.py
@@ -1,8 +1,8 @@
 """A job's whole path through the reducers, calm and with one fault each."""
 
-from gypsumspoke.runs.admission import SETTLING
+from gypsumspoke.runs.admission import WORKER_DISCOVERY_TIMEOUT
 from gypsumspoke.runs.coordinator import is_ready
-from gypsumspoke.runs.values import JobEnd, WorkerReady
+from gypsumspoke.runs.values import JobEnd, WorkerState
 from tests.runs.world import World, job, ms
 
 
@@ -114,7 +114,7 @@
     world.submit("entry0", "r1", job("j1", count=4))
     world.run(ms(50))
     world.drained_at["side0"] = world.now
-    world.beat("side0", WorkerReady.DRAINING)
+    world.beat("side0", WorkerState.DRAINING)
     world.run(ms(10))
     before = list(world.workers["side0"].starts)
     world.submit("entry0", "r2", job("j2", count=1))
@@ -158,7 +158,7 @@
 
 def test_a_service_without_workers_is_refused_at_once_later():
     world = World(sidecars=0)
-    world.run(SETTLING)
+    world.run(WORKER_DISCOVERY_TIMEOUT)
     world.submit("entry0", "r1", job("j1"))
     assert world.end_of("r1") is JobEnd.NOT_RUN
 
@@ -170,5 +170,5 @@
     without = World(sidecars=0)
     entry = without.processes["entry0"]
     assert not is_ready(entry.state, without.now)
-    without.run(SETTLING)
+    without.run(WORKER_DISCOVERY_TIMEOUT)
     assert is_ready(entry.state, without.now)
--- a/tests/runs/test_late_ends.py
+++ b/tests/runs/test_late_ends.py
@@ -9,7 +9,7 @@
 from gypsumspoke.runs.orders import StartOrder
 from gypsumspoke.runs.values import JobEnd, RunEnd, RunId, TaskId
 from tests.runs.lone_sidecar import LoneSidecar
-from tests.runs.test_path import settled
+from tests.runs.test_job_lifecycle import settled
 from tests.runs.world import TASK_ROOM, TASK_TIME, World, job, ms
 
 RESEND = DEFAULT_BOUNDS.resend
--- a/tests/runs/test_behind.py
+++ b/tests/runs/test_load_shedding.py
@@ -129,7 +129,7 @@
 def test_an_entry_takes_all_jobs_again_when_the_load_is_over():
     world = play(CARRIED * 3).world
     state = world.processes[ENTRY].state
-    assert state.load.refused_share == 0
+    assert state.load_shedder.refused_share == 0
     assert not state.jobs
 
 
--- a/tests/runs/test_lost_stops.py
+++ b/tests/runs/test_lost_stops.py
@@ -16,10 +16,10 @@
     RunEnd,
     RunId,
     TaskId,
-    WorkerReady,
+    WorkerState,
 )
 from tests.runs.lone_sidecar import LoneSidecar
-from tests.runs.test_path import settled
+from tests.runs.test_job_lifecycle import settled
 from tests.runs.world import TASK_ROOM, TASK_TIME, World, job, ms
 
 TASK = TaskId("j1", 0, 0)
@@ -51,7 +51,7 @@
 def come_back(world: World) -> None:
     """Send the job again through the other entry, to the other worker."""
     world.drained_at["side0"] = world.now
-    world.beat("side0", WorkerReady.DRAINING)
+    world.beat("side0", WorkerState.DRAINING)
     world.submit("entry1", "r2", job("j1", count=1), ms(20_000))
     world.run(ms(5000))
 
--- a/tests/runs/test_overload.py
+++ b/tests/runs/test_overload.py
@@ -2,10 +2,10 @@
 
 from gypsumspoke.core.effects import Send
 from gypsumspoke.runs.admission import expected_wait
-from gypsumspoke.runs.fleet import SidecarView
 from gypsumspoke.runs.messages import PlaceRun
+from gypsumspoke.runs.sidecar_views import SidecarView
 from gypsumspoke.runs.values import JobEnd
-from tests.runs.test_path import settled
+from tests.runs.test_job_lifecycle import settled
 from tests.runs.world import ROUTE, SERVICE, World, job, ms
 
 
--- a/tests/runs/test_placement.py
+++ b/tests/runs/test_placement.py
@@ -2,9 +2,14 @@
 
 import pytest
 
-from gypsumspoke.runs.fleet import Placement, SidecarView, note_placed, take_report
 from gypsumspoke.runs.messages import WorkerReport
-from gypsumspoke.runs.placement import Wanted, choose, serves
+from gypsumspoke.runs.placement import PlacementRequest, choose, serves
+from gypsumspoke.runs.sidecar_views import (
+    Placement,
+    SidecarView,
+    record_placement,
+    update_report,
+)
 from gypsumspoke.runs.values import Room, RunId, Step, TaskId
 from tests.runs.world import START, ms
 
@@ -28,13 +33,15 @@
         failing=False,
         taken=0,
     )
-    take_report(made, report._replace(**more), START)
+    update_report(made, report._replace(**more), START)
     return made
 
 
 def place(views, step=STEP, left=1.0):
     """Return the name of the chosen worker, or None."""
-    choice = choose(views, Wanted("estimate", step, RUN, left), START + ms(50))
+    choice = choose(
+        views, PlacementRequest("estimate", step, RUN, left), START + ms(50)
+    )
     return choice.view.host if choice else None
 
 
@@ -63,7 +70,7 @@
 
 def test_own_placements_count_before_the_next_report():
     one = view("one")
-    note_placed(one, Placement(RUN, Room(6000, 64, 0)))
+    record_placement(one, Placement(RUN, Room(6000, 64, 0)))
     assert place([one]) is None
 
 
@@ -80,7 +87,9 @@
 
 
 def test_a_silent_sidecar_gets_nothing():
-    choice = choose([view("one")], Wanted("estimate", STEP, RUN, 1.0), START + ms(500))
+    choice = choose(
+        [view("one")], PlacementRequest("estimate", STEP, RUN, 1.0), START + ms(500)
+    )
     assert choice is None
 
 
@@ -93,7 +102,7 @@
 def test_a_failing_worker_gets_one_run_at_a_time():
     failing = view("one", failing=True)
     assert place([failing]) == "one"
-    note_placed(failing, Placement(RUN, STEP.room))
+    record_placement(failing, Placement(RUN, STEP.room))
     assert place([failing]) is None
 
 
@@ -106,6 +115,6 @@
     near = view("near", free=0, labels=("r1",))
     far = view("far", labels=("r2",))
     seconds = step.estimate.total_seconds()
-    wanted = Wanted("estimate", step, RUN, 2 * seconds, remote_slowdown=1.2)
+    wanted = PlacementRequest("estimate", step, RUN, 2 * seconds, remote_slowdown=1.2)
     assert choose([near, far], wanted, START).view is far
     assert choose([near, far], wanted._replace(remote_slowdown=3.0), START) is None
--- a/tests/runs/test_placing_rounds.py
+++ b/tests/runs/test_placing_rounds.py
@@ -6,7 +6,7 @@
 from gypsumspoke.runs import assignment, coordinator
 from gypsumspoke.runs.messages import PlaceRun, RunEnded
 from gypsumspoke.runs.values import EndReason, RunEnd
-from tests.runs.test_path import settled
+from tests.runs.test_job_lifecycle import settled
 from tests.runs.world import job, ms
 
 
@@ -83,10 +83,10 @@
     state = world.processes["entry0"].state
     for sender, run in ends(world):
         ended = RunEnded(run, RunEnd.DONE, EndReason.COMPLETED, ms(100), 1)
-        effects = coordinator.take(state, Received(sender, ended), world.now)
+        effects = coordinator.handle_event(state, Received(sender, ended), world.now)
         assert not placed(effects)
     assert looks == []
-    assert placed(coordinator.take(state, TURN_ENDED, world.now))
+    assert placed(coordinator.handle_event(state, TURN_ENDED, world.now))
     looks.clear()
-    assert coordinator.take(state, TURN_ENDED, world.now) == []
+    assert coordinator.handle_event(state, TURN_ENDED, world.now) == []
     assert looks == []
--- a/tests/runs/test_replaced.py
+++ b/tests/runs/test_replaced.py
@@ -7,7 +7,7 @@
 from gypsumspoke.runs.messages import WorkerReport
 from gypsumspoke.runs.orders import StopOrder
 from gypsumspoke.runs.values import JobEnd
-from tests.runs.test_path import settled
+from tests.runs.test_job_lifecycle import settled
 from tests.runs.world import Fate, World, job, ms
 
 
--- a/tests/runs/test_reports.py
+++ b/tests/runs/test_reports.py
@@ -6,7 +6,7 @@
 from gypsumspoke.runs.messages import Pulse, WorkerReport
 from gypsumspoke.runs.values import JobEnd
 from gypsumspoke.shell.run_role import SILENCE_LIMIT
-from tests.runs.test_path import settled
+from tests.runs.test_job_lifecycle import settled
 from tests.runs.world import World, job, ms
 
 
--- a/tests/runs/test_safeguards.py
+++ b/tests/runs/test_safeguards.py
@@ -12,28 +12,28 @@
 from gypsumspoke.runs import (
     assignment,
     budget,
+    caller_timeouts,
     guard_holds,
     guard_lease,
     guard_life,
     guard_orders,
     guard_placing,
     guard_waiting,
-    patience,
 )
 from gypsumspoke.runs.budget import DEFAULT_BUDGET
 from gypsumspoke.runs.messages import PlaceRun
 from gypsumspoke.runs.values import EndReason, JobEnd, RunId, TaskId
 from tests.runs import (
+    test_caller_timeouts,
     test_faults,
+    test_job_lifecycle,
     test_lost_stops,
     test_orphans,
     test_overload,
-    test_path,
-    test_patience,
     test_reports,
 )
 from tests.runs.lone_sidecar import LoneSidecar
-from tests.runs.test_path import settled
+from tests.runs.test_job_lifecycle import settled
 from tests.runs.world import TASK_ROOM, TASK_TIME, World, job, ms
 
 LONG = timedelta(seconds=60)
@@ -142,7 +142,7 @@
         [
             (guard_orders, "hold_room", lambda state, guarded: None),
         ],
-        test_path.test_jobs_of_two_entries_share_a_worker_within_its_room,
+        test_job_lifecycle.test_jobs_of_two_entries_share_a_worker_within_its_room,
         id="starts take room",
     ),
     pytest.param(
@@ -169,14 +169,18 @@
     ),
     pytest.param(
         [
-            (patience.Patience, "waited", lambda self, route, left, now: ms(0)),
+            (
+                caller_timeouts.CallerTimeouts,
+                "waited_elsewhere",
+                lambda self, route, left, now: ms(0),
+            ),
         ],
-        test_patience.test_a_new_job_goes_before_those_that_come_back,
+        test_caller_timeouts.test_a_new_job_goes_before_those_that_come_back,
         id="callers that come back are told from new ones",
     ),
     pytest.param(
         [
-            (assignment, "_time_needed", lambda state, progress: ms(0)),
+            (assignment, "_longest_estimate", lambda state, progress: ms(0)),
         ],
         test_overload.test_a_job_that_can_not_be_in_time_any_more_lets_others_go_before,
         id="jobs that can't be in time any more let others go before",
@@ -223,7 +227,7 @@
     choose = assignment._choose
 
     def careless(state, progress, task, now):
-        state.ending.pop(task.id, None)
+        state.withdrawn.pop(task.id, None)
         return choose(state, progress, task, now)
 
     monkeypatch.setattr(assignment, "_choose", careless)
--- a/tests/runs/world.py
+++ b/tests/runs/world.py
@@ -27,7 +27,7 @@
     Timed,
 )
 from gypsumspoke.runs import coordinator, guard
-from gypsumspoke.runs.admission import refuse_behind
+from gypsumspoke.runs.admission import refuse_overloaded
 from gypsumspoke.runs.budget import DEFAULT_BUDGET, Budget
 from gypsumspoke.runs.coordinator_state import (
     AnswerJob,
@@ -61,7 +61,7 @@
     Route,
     RunId,
     Step,
-    WorkerReady,
+    WorkerState,
 )
 from tests.runs.worker import ZERO, FakeWorker
 
@@ -357,7 +357,7 @@
     ) -> tuple[list[Any], timedelta]:
         """Return what comes of an event, and the processor time that it takes."""
         if isinstance(event, JobArrived):
-            refusal = refuse_behind(process.state, event.job.id)
+            refusal = refuse_overloaded(process.state, event.job.id)
             if refusal is not None:
                 answer = AnswerJob(event.request, JobEnd.NOT_RUN, *refusal)
                 return [answer], self.refusal_cost
@@ -443,11 +443,11 @@
         """Return the worker's own clock."""
         return (self.now - self.born_at[host]) * self.clock_rate[host]
 
-    def beat(self, host: str, state: WorkerReady = WorkerReady.READY) -> None:
+    def beat(self, host: str, state: WorkerState = WorkerState.READY) -> None:
         """Have a worker say what it is now."""
         registration = Registration(
             id=f"w-{host}",
-            born=self.lives[host],
+            incarnation=self.lives[host],
             sequence=next(self._sequence),
             service=SERVICE,
             state=state,
