--- a/gypsumspoke/core/adoption.py
+++ b/gypsumspoke/core/adoption.py
@@ -28,10 +28,10 @@
 from gypsumspoke.core.ownership import (
     AdoptedJob,
     HandedLedger,
-    HandoffWanted,
-    Lost,
+    HandoffDue,
     Ownership,
-    Serving,
+    PartitionLost,
+    PartitionServed,
     is_running,
 )
 from gypsumspoke.core.start_records import expiry_bound, remember_messages
@@ -51,7 +51,7 @@
 # Taking over
 
 
-def begin_serving(state: HomeState, notice: Serving) -> list[Parked]:
+def begin_serving(state: HomeState, notice: PartitionServed) -> list[Parked]:
     """Fill ledger and adopted jobs of a partition.
 
     Returns:
@@ -179,7 +179,9 @@
 # Giving away
 
 
-def drop_partition(state: HomeState, notice: Lost, now: datetime) -> list[Effect]:
+def drop_partition(
+    state: HomeState, notice: PartitionLost, now: datetime
+) -> list[Effect]:
     """Forget a partition that another home owns; its callers are sent on there."""
     partition = notice.partition
     effects = _release(state, partition, now)
@@ -216,7 +218,7 @@
     return effects
 
 
-def hand_over(state: HomeState, notice: HandoffWanted, now: datetime) -> list[Effect]:
+def hand_over(state: HomeState, notice: HandoffDue, now: datetime) -> list[Effect]:
     """Give a partition's whole ledger to the next home and stop serving it."""
     ownership = state.serving(notice.partition)
     if ownership is None:
@@ -315,7 +317,7 @@
 # Executors that were lost with their records
 
 
-def retell_lost(state: HomeState, lost: str, now: datetime) -> list[Effect]:
+def send_lost_records(state: HomeState, lost: str, now: datetime) -> list[Effect]:
     """Give what a lost executor knew to another one, for all partitions owned here.
 
     Each start is known here too. Without this, the death of this home would make
@@ -327,7 +329,7 @@
         if ownership is None or ownership.floor.lossy_before is not None:
             continue
         # Who went before it was heard may have started tasks unknown here.
-        if lost not in ownership.unheard:
+        if lost not in ownership.uncovered:
             effects += _retell(state, ownership, lost, now)
     return effects
 
@@ -335,7 +337,7 @@
 def _retell(
     state: HomeState, ownership: Ownership, lost: str, now: datetime
 ) -> list[Effect]:
-    others = state.takeover.other_sidecars()
+    others = state.takeover.available_peers()
     if not others:
         return []
     partition = ownership.partition
@@ -398,12 +400,12 @@
     )
 
 
-def retold(state: HomeState, message: RememberAck) -> None:
+def handle_remember_ack(state: HomeState, message: RememberAck) -> None:
     """Note that another executor holds a lost one's records."""
     state.retellings.pop((message.partition, message.source), None)
 
 
-def tell_again(state: HomeState, now: datetime) -> list[Effect]:
+def resend_lost_records(state: HomeState, now: datetime) -> list[Effect]:
     """Repeat what no executor acknowledged; drop what is no longer owned."""
     effects: list[Effect] = []
     for place, retelling in list(state.retellings.items()):
--- a/gypsumspoke/core/claims.py
+++ b/gypsumspoke/core/claims.py
@@ -19,15 +19,15 @@
 from gypsumspoke.core.messages import HandoffAck
 from gypsumspoke.core.ownership import HandedLedger, Ownership, Phase
 from gypsumspoke.core.rows import partition_from_row, partition_key, partition_value
-from gypsumspoke.core.takeover_view import (
+from gypsumspoke.core.takeover_state import (
     REQUEST_PREFIX,
     TakeoverState,
+    drop_ownership,
     is_silent,
-    log_of,
-    lose,
-    of_request,
+    ownership_log,
+    ownership_of_request,
     preferred,
-    request_of,
+    request_id,
 )
 from gypsumspoke.core.values import PartitionRow
 
@@ -70,7 +70,7 @@
     """
     if row.owner == state.incarnation:
         return row.partition not in state.owned
-    if state.is_gone(row.owner):
+    if state.has_ended(row.owner):
         return True
     if not is_silent(state, row.owner, now):
         return False
@@ -92,7 +92,7 @@
     state.owned[partition] = ownership
     return [
         Count(Counter.TAKEOVER_STARTED),
-        log_of("partition claim sent", ownership),
+        ownership_log("partition claim sent", ownership),
         _claim_write(state, ownership, now),
     ]
 
@@ -101,26 +101,28 @@
     state: TakeoverState, ownership: Ownership, now: datetime
 ) -> WriteRows:
     key = partition_key(ownership.partition)
-    version = ownership.former.version if ownership.former is not None else 0
+    version = (
+        ownership.replaced_row.version if ownership.replaced_row is not None else 0
+    )
     value = partition_value(state.incarnation, ownership.epoch, now)
-    return WriteRows(request_of(CLAIM, ownership), ((key, version),), ((key, value),))
+    return WriteRows(request_id(CLAIM, ownership), ((key, version),), ((key, value),))
 
 
 def check_claim(ownership: Ownership, now: datetime) -> list[Effect]:
     """Read back a claim whose answer did not come: it may have taken effect."""
-    ownership.asked = now
+    ownership.last_request = now
     key = partition_key(ownership.partition)
     return [
         Count(RetryReason.TABLE_ANSWER_LOST),
-        ReadRows(request_of(CHECK, ownership), key),
+        ReadRows(request_id(CHECK, ownership), key),
     ]
 
 
-def rows_written(
+def handle_rows_written(
     state: TakeoverState, event: RowsWritten, now: datetime
 ) -> list[Effect]:
     """Apply the end of a claim's write."""
-    ownership = of_request(state, event.request)
+    ownership = ownership_of_request(state, event.request)
     if ownership is None or ownership.phase is not Phase.CLAIMING:
         return []
     if event.outcome is WriteOutcome.COMMITTED:
@@ -145,7 +147,7 @@
     if row is not None and row.epoch >= ownership.epoch:
         state.rows[row.partition] = row
         return _claim_failed(state, ownership)
-    ownership.asked = now
+    ownership.last_request = now
     if _is_needless(state, ownership, now):
         return _claim_failed(state, ownership)
     return [_claim_write(state, ownership, now)]
@@ -153,7 +155,7 @@
 
 def _is_needless(state: TakeoverState, ownership: Ownership, now: datetime) -> bool:
     """Return whether the owner came back while the table was down."""
-    former = ownership.former
+    former = ownership.replaced_row
     if former is None or ownership.handed is not None:
         return False
     if former.owner == state.incarnation:
@@ -162,11 +164,11 @@
 
 
 def _claim_failed(state: TakeoverState, ownership: Ownership) -> list[Effect]:
-    lose(state, ownership)
-    if not ownership.giver:
+    drop_ownership(state, ownership)
+    if not ownership.handoff_sender:
         return []
     answer = HandoffAck(ownership.partition, ownership.epoch - 1, False)
-    return [Send(ownership.giver, answer)]
+    return [Send(ownership.handoff_sender, answer)]
 
 
 def _claimed(
@@ -177,13 +179,13 @@
     )
     state.rows[ownership.partition] = row
     effects: list[Effect] = [
-        log_of("partition claimed", ownership),
+        ownership_log("partition claimed", ownership),
         Local(PartitionsChanged((row,))),
     ]
-    if ownership.giver:
+    if ownership.handoff_sender:
         answer = HandoffAck(ownership.partition, ownership.epoch - 1, True)
-        effects.append(Send(ownership.giver, answer))
-    if ownership.former is None:
+        effects.append(Send(ownership.handoff_sender, answer))
+    if ownership.replaced_row is None:
         # No home ever owned it, so nothing can have started or been refused.
         ownership.floor = Floor(ownership.epoch, 0, _never(now), None)
         ownership.remembered = True
--- a/gypsumspoke/core/copies.py
+++ b/gypsumspoke/core/copies.py
@@ -11,7 +11,7 @@
 from gypsumspoke.core.effects import Count, Deliver, Effect, Local, Log, Observe, Send
 from gypsumspoke.core.entry_state import EntryState, Waiting
 from gypsumspoke.core.errors import ErrorKind, Work
-from gypsumspoke.core.membership import ViewDoubted
+from gypsumspoke.core.membership import ViewOutdated
 from gypsumspoke.core.messages import SubmitJob
 from gypsumspoke.core.refusals import refusal_of
 from gypsumspoke.core.values import Answer
@@ -100,7 +100,7 @@
     spread = 0.5 + state.random.random()
     waiting.send_again_at = now + SEND_AGAIN_AFTER * spread
     if answer.kind is ErrorKind.NOT_OWNER:
-        return [Local(ViewDoubted())]
+        return [Local(ViewOutdated())]
     return []
 
 
--- a/gypsumspoke/core/dispatch.py
+++ b/gypsumspoke/core/dispatch.py
@@ -304,7 +304,7 @@
     for executor in list(state.in_flight):
         if _is_lost(state, executor, now):
             effects += give_up(state, executor, now)
-        elif not state.takeover.is_gone(executor):
+        elif not state.takeover.has_ended(executor):
             effects += _ask_overdue(state, executor, now)
         if not state.in_flight[executor]:
             del state.in_flight[executor]
@@ -312,7 +312,7 @@
 
 
 def _is_lost(state: HomeState, executor: str, now: datetime) -> bool:
-    if state.takeover.is_gone(executor):
+    if state.takeover.has_ended(executor):
         return False
     silent = state.silent_since.get(executor)
     return silent is not None and now - silent >= state.policy.unreachable_after
--- a/gypsumspoke/core/endings.py
+++ b/gypsumspoke/core/endings.py
@@ -160,7 +160,7 @@
     partition = confirmation.partition
     others = [
         name
-        for name in state.takeover.other_sidecars()
+        for name in state.takeover.available_peers()
         if name not in confirmation.asked
     ]
     if not others or len(confirmation.asked) >= CONFIRM_TRIES:
--- a/gypsumspoke/core/epochs.py
+++ b/gypsumspoke/core/epochs.py
@@ -15,7 +15,7 @@
 from gypsumspoke.core.task_starts import drop_waiting, raise_epoch
 
 
-def fence(
+def handle_fence(
     message: Fence, sender: str, state: ExecutorState, now: datetime
 ) -> list[Effect]:
     """Refuse lower epochs from now on and send the records."""
@@ -34,7 +34,7 @@
     )
 
 
-def close_job(
+def handle_close_job(
     message: CloseJob, sender: str, state: ExecutorState, now: datetime
 ) -> list[Effect]:
     """Confirm an epoch and keep the jobs that ended under it."""
@@ -55,7 +55,7 @@
     return effects + [Send(sender, ack)]
 
 
-def partitions_changed(
+def handle_partitions_changed(
     event: PartitionsChanged, state: ExecutorState, now: datetime
 ) -> list[Effect]:
     """Take over the epochs of the partition map."""
--- a/gypsumspoke/core/executor.py
+++ b/gypsumspoke/core/executor.py
@@ -64,7 +64,7 @@
     Returns:
       What the shell must do, in order.
     """
-    effects = state.self_check.note_event(now)
+    effects = state.pause_check.record_event(now)
     return effects + _on(event, state, now)
 
 
@@ -114,25 +114,25 @@
 
 @_on.register
 def _(event: RowsRead, state: ExecutorState, now: datetime) -> list[Effect]:
-    state.self_check.note_rows(event)
+    state.pause_check.handle_rows_read(event)
     return task_starts.start_waiting(state, now)
 
 
 @_on_message.register
 def _(message: Fence, sender: str, state: ExecutorState, now: datetime) -> list[Effect]:
-    return epochs.fence(message, sender, state, now)
+    return epochs.handle_fence(message, sender, state, now)
 
 
 @_on_message.register
 def _(
     message: CloseJob, sender: str, state: ExecutorState, now: datetime
 ) -> list[Effect]:
-    return epochs.close_job(message, sender, state, now)
+    return epochs.handle_close_job(message, sender, state, now)
 
 
 @_on.register
 def _(event: PartitionsChanged, state: ExecutorState, now: datetime) -> list[Effect]:
-    return epochs.partitions_changed(event, state, now)
+    return epochs.handle_partitions_changed(event, state, now)
 
 
 @_on_message.register
@@ -156,7 +156,7 @@
     state.refused.expire(now - 2 * policy.clock_skew)
     overdue = [waiting for waiting in state.waiting if now >= waiting.start.deadline]
     effects = task_starts.drop_waiting(state, overdue, RetryReason.DEADLINE_PASSED)
-    effects += state.self_check.tick(now)
+    effects += state.pause_check.tick(now)
     return (
         effects
         + task_starts.start_waiting(state, now)
--- a/gypsumspoke/core/executor_state.py
+++ b/gypsumspoke/core/executor_state.py
@@ -9,9 +9,9 @@
 from typing import NamedTuple
 
 from gypsumspoke.core.messages import Remember, StartTask
+from gypsumspoke.core.pause_check import PauseCheck
 from gypsumspoke.core.policy import DEFAULT_POLICY, Policy
 from gypsumspoke.core.refused_marks import RefusedMarks
-from gypsumspoke.core.self_check import SelfCheck
 from gypsumspoke.core.start_records import StartRecords
 from gypsumspoke.core.values import AttemptId, Load
 
@@ -64,7 +64,7 @@
         self.unremembered: set[int] | None = None
         self.remember_sent: datetime | None = None
         self.remember_round = 0
-        self.self_check = SelfCheck(incarnation)
+        self.pause_check = PauseCheck(incarnation)
 
     @property
     def idle(self) -> bool:
--- a/gypsumspoke/core/fences.py
+++ b/gypsumspoke/core/fences.py
@@ -19,17 +19,17 @@
 from gypsumspoke.core.effects import Count, Effect, Observe, ReadRows, Send
 from gypsumspoke.core.ledger import Floor, floor_birth
 from gypsumspoke.core.messages import Fence, FenceAck, FenceRefused, RememberAck
-from gypsumspoke.core.ownership import AdoptedJob, Ownership, Phase, Serving
+from gypsumspoke.core.ownership import AdoptedJob, Ownership, PartitionServed, Phase
 from gypsumspoke.core.partitions import partition_of
 from gypsumspoke.core.rows import MEMBERS_PREFIX
 from gypsumspoke.core.start_records import expiry_bound, knows_more, remember_messages
-from gypsumspoke.core.takeover_view import (
+from gypsumspoke.core.takeover_state import (
     REQUEST_PREFIX,
     TakeoverState,
+    drop_ownership,
     is_silent,
-    log_of,
-    lose,
-    request_of,
+    ownership_log,
+    request_id,
 )
 from gypsumspoke.core.values import (
     NOTHING_FORGOTTEN,
@@ -50,8 +50,8 @@
 def read_members(ownership: Ownership, now: datetime) -> list[Effect]:
     """Read the registrations after the claim is written, never before."""
     ownership.phase = Phase.READING
-    ownership.asked = now
-    return [ReadRows(request_of(MEMBERS, ownership), MEMBERS_PREFIX)]
+    ownership.last_request = now
+    return [ReadRows(request_id(MEMBERS, ownership), MEMBERS_PREFIX)]
 
 
 def fence_all(
@@ -71,8 +71,8 @@
         for member in members
         if member.role is Role.SIDECAR and member.ended is None
     }
-    if ownership.former is not None and ownership.handed is None:
-        ownership.required.discard(ownership.former.owner)
+    if ownership.replaced_row is not None and ownership.handed is None:
+        ownership.required.discard(ownership.replaced_row.owner)
     # The own executor is fenced like any other, so that it refuses lower epochs.
     ownership.required.add(state.incarnation)
     return _send_fences(state, ownership, now)
@@ -81,12 +81,12 @@
 def _send_fences(
     state: TakeoverState, ownership: Ownership, now: datetime
 ) -> list[Effect]:
-    ownership.asked = now
+    ownership.last_request = now
     effects: list[Effect] = []
     fence = Fence(ownership.partition, ownership.epoch)
-    due = ownership.required - (ownership.acknowledged - ownership.awaited)
+    due = ownership.required - (ownership.acknowledged - ownership.awaiting_second_ack)
     # An answer of which a part has come is on its way; a second one would mix with it.
-    for name in sorted(due - set(ownership.parts)):
+    for name in sorted(due - set(ownership.partial_acks)):
         effects += [Count(Counter.FENCE_SENT), Send(name, fence)]
     return effects
 
@@ -94,14 +94,14 @@
 def pursue_fences(
     state: TakeoverState, ownership: Ownership, now: datetime
 ) -> list[Effect]:
-    former = ownership.former
+    former = ownership.replaced_row
     if former is not None and is_silent(state, former.owner, now):
         # A giver that died after its handoff is left out like any former owner.
         leave_out(ownership, {former.owner})
     finished = finish_if_fenced(state, ownership, now)
     if finished:
         return finished
-    if now - ownership.asked >= FENCE_RESEND:
+    if now - ownership.last_request >= FENCE_RESEND:
         return _send_fences(state, ownership, now)
     return []
 
@@ -110,7 +110,9 @@
     """Wait no longer for executors that have ended or are not needed."""
     left_out = ownership.required.intersection(names)
     ownership.required -= left_out
-    ownership.went |= left_out - (ownership.acknowledged - ownership.awaited)
+    ownership.departed |= left_out - (
+        ownership.acknowledged - ownership.awaiting_second_ack
+    )
 
 
 def fence_acknowledged(
@@ -123,14 +125,14 @@
     if ownership.phase is not Phase.FENCING:
         return []
     name = message.incarnation
-    parts = ownership.parts.setdefault(name, [])
+    parts = ownership.partial_acks.setdefault(name, [])
     parts.append(message)
     answer = whole_answer(parts, message)
     if answer:
-        del ownership.parts[name]
-        ownership.heard.setdefault(name, []).extend(answer)
+        del ownership.partial_acks[name]
+        ownership.acks.setdefault(name, []).extend(answer)
         ownership.acknowledged.add(name)
-        ownership.awaited.discard(name)
+        ownership.awaiting_second_ack.discard(name)
     return finish_if_fenced(state, ownership, now)
 
 
@@ -149,7 +151,7 @@
 def peer_lost(state: TakeoverState, incarnation: str) -> None:
     """Forget the parts of an answer whose rest was lost with the connection."""
     for ownership in state.owned.values():
-        ownership.parts.pop(incarnation, None)
+        ownership.partial_acks.pop(incarnation, None)
 
 
 def fence_refused(state: TakeoverState, message: FenceRefused) -> list[Effect]:
@@ -157,8 +159,8 @@
     ownership = state.owned.get(message.partition)
     if ownership is None or message.highest <= ownership.epoch:
         return []
-    lose(state, ownership)
-    return [log_of("partition lost to a higher epoch", ownership)]
+    drop_ownership(state, ownership)
+    return [ownership_log("partition lost to a higher epoch", ownership)]
 
 
 def epoch_refused(state: TakeoverState, attempt: AttemptId) -> None:
@@ -166,7 +168,7 @@
     partition = partition_of(attempt.key, state.partition_count)
     ownership = state.owned.get(partition)
     if ownership is not None and ownership.epoch == attempt.epoch:
-        lose(state, ownership)
+        drop_ownership(state, ownership)
 
 
 def finish_if_fenced(
@@ -174,14 +176,14 @@
 ) -> list[Effect]:
     if ownership.required - ownership.acknowledged:
         return []
-    is_late = now - ownership.asked_again >= ASKED_AGAIN_LIMIT
-    if ownership.required & ownership.awaited and not is_late:
+    is_late = now - ownership.second_fence_sent >= ASKED_AGAIN_LIMIT
+    if ownership.required & ownership.awaiting_second_ack and not is_late:
         return []
-    parts = [part for heard in ownership.heard.values() for part in heard]
-    ownership.unheard = frozenset(_uncovered(state, ownership, parts, now))
-    if ownership.unheard and ownership.went:
+    parts = [part for heard in ownership.acks.values() for part in heard]
+    ownership.uncovered = frozenset(_uncovered(state, ownership, parts, now))
+    if ownership.uncovered and ownership.departed:
         return _ask_again(state, ownership, now)
-    lossy = bool(ownership.unheard)
+    lossy = bool(ownership.uncovered)
     ownership.floor = _floor(state, ownership, lossy, now)
     ownership.forgotten_before = _forgotten_before(ownership, parts)
     adopted = _adopt(state, ownership, parts, complete=not lossy)
@@ -193,13 +195,13 @@
     state: TakeoverState, ownership: Ownership, now: datetime
 ) -> list[Effect]:
     """Ask all executors once more what they were told by those that went."""
-    went = ",".join(sorted(ownership.went))
-    ownership.went.clear()
-    ownership.awaited = set(ownership.required)
-    ownership.asked_again = now
+    went = ",".join(sorted(ownership.departed))
+    ownership.departed.clear()
+    ownership.awaiting_second_ack = set(ownership.required)
+    ownership.second_fence_sent = now
     return [
         Count(Counter.FENCED_AGAIN),
-        log_of("fences sent again", ownership, went=went),
+        ownership_log("fences sent again", ownership, went=went),
         *_send_fences(state, ownership, now),
     ]
 
@@ -240,7 +242,7 @@
         and member.ended is not None
         and member.ended > bound
     }
-    former = ownership.former
+    former = ownership.replaced_row
     if former is not None and former.epoch > 1 and former.since > bound:
         # It may hold starts that an earlier owner placed there.
         suspects.add(former.owner)
@@ -302,21 +304,21 @@
 ) -> list[Effect]:
     ownership.phase = Phase.SERVING
     state.notices.append(
-        Serving(ownership.partition, adopted, closed, ownership.handed)
+        PartitionServed(ownership.partition, adopted, closed, ownership.handed)
     )
     ownership.handed = None
-    own = ownership.heard.get(state.incarnation, [])
-    ownership.heard = {state.incarnation: own}
-    ownership.parts.clear()
+    own = ownership.acks.get(state.incarnation, [])
+    ownership.acks = {state.incarnation: own}
+    ownership.partial_acks.clear()
     seconds = (now - ownership.started).total_seconds()
     effects: list[Effect] = [
         Count(Counter.TAKEOVER_FINISHED),
         Observe("takeover_seconds", seconds),
         # Whose records may be lost decides what is answered "unknown" from now on.
-        log_of(
+        ownership_log(
             "partition served",
             ownership,
-            unheard=",".join(sorted(ownership.unheard)),
+            unheard=",".join(sorted(ownership.uncovered)),
             running=len(adopted),
         ),
     ]
@@ -333,14 +335,14 @@
     They are starts that former owners placed here. If this process died now, home and
     record would go together, and the next owner could not know of those starts.
     """
-    if ownership.remember_to and now - ownership.asked < FENCE_RESEND:
+    if ownership.records_target and now - ownership.last_request < FENCE_RESEND:
         return []
-    others = state.other_sidecars()
+    others = state.available_peers()
     if not others:
         return []
-    ownership.asked = now
-    ownership.remember_to = others[ownership.partition % len(others)]
-    parts = ownership.heard.get(state.incarnation, [])
+    ownership.last_request = now
+    ownership.records_target = others[ownership.partition % len(others)]
+    parts = ownership.acks.get(state.incarnation, [])
     started = [record for part in parts for record in part.started]
     closed = [record for part in parts for record in part.closed]
     covers = {name for part in parts for name in part.covers}
@@ -355,7 +357,7 @@
         tuple(sorted(covers)),
         ownership.forgotten_before,
     )
-    return [Send(ownership.remember_to, message) for message in messages]
+    return [Send(ownership.records_target, message) for message in messages]
 
 
 def remember_acknowledged(state: TakeoverState, message: RememberAck) -> list[Effect]:
@@ -365,5 +367,5 @@
         return []
     if message.source == cover_as_owner(state.incarnation, ownership.epoch):
         ownership.remembered = True
-        ownership.heard.clear()
+        ownership.acks.clear()
     return []
--- a/gypsumspoke/core/handoffs.py
+++ b/gypsumspoke/core/handoffs.py
@@ -12,12 +12,12 @@
 from gypsumspoke.core.effects import Count, Effect, ReadRows, Send
 from gypsumspoke.core.events import RowsRead
 from gypsumspoke.core.messages import Handoff, HandoffAck
-from gypsumspoke.core.ownership import HandedLedger, HandoffWanted, Phase
+from gypsumspoke.core.ownership import HandedLedger, HandoffDue, Phase
 from gypsumspoke.core.rows import partition_key
-from gypsumspoke.core.takeover_view import (
+from gypsumspoke.core.takeover_state import (
     REQUEST_PREFIX,
     TakeoverState,
-    lose,
+    drop_ownership,
     preferred,
 )
 from gypsumspoke.core.values import PartitionRow
@@ -40,11 +40,11 @@
     return []
 
 
-def _handoffs_wanted(state: TakeoverState) -> list[HandoffWanted]:
+def _handoffs_wanted(state: TakeoverState) -> list[HandoffDue]:
     handing = sum(
-        ownership.phase is Phase.HANDING for ownership in state.owned.values()
+        ownership.phase is Phase.HANDING_OVER for ownership in state.owned.values()
     )
-    wanted: list[HandoffWanted] = []
+    wanted: list[HandoffDue] = []
     for partition, ownership in sorted(state.owned.items()):
         if len(wanted) + handing >= HANDOFFS_AT_ONCE:
             break
@@ -52,7 +52,7 @@
         if ownership.phase is not Phase.SERVING or target is None:
             continue
         if target.incarnation != state.incarnation:
-            wanted.append(HandoffWanted(partition, target.incarnation))
+            wanted.append(HandoffDue(partition, target.incarnation))
     return wanted
 
 
@@ -65,8 +65,8 @@
       The row that the next home must replace.
     """
     ownership = state.owned[partition]
-    ownership.phase = Phase.HANDING
-    ownership.asked = now
+    ownership.phase = Phase.HANDING_OVER
+    ownership.last_request = now
     ownership.handed = handed
     return state.rows[partition]
 
@@ -82,7 +82,7 @@
     return claim(state, partition, row, handed, "", now)
 
 
-def handoff_received(
+def handle_handoff(
     state: TakeoverState, message: Handoff, sender: str, now: datetime
 ) -> list[Effect]:
     """Apply one chunk of a ledger; with the last one the partition is claimed."""
@@ -118,16 +118,16 @@
     )
 
 
-def handoff_acknowledged(
+def handle_handoff_ack(
     state: TakeoverState, message: HandoffAck, now: datetime
 ) -> list[Effect]:
     """End a handoff: the next home owns the partition, or it is taken back."""
     ownership = state.owned.get(message.partition)
-    if ownership is None or ownership.phase is not Phase.HANDING:
+    if ownership is None or ownership.phase is not Phase.HANDING_OVER:
         return []
     if ownership.epoch != message.epoch:
         return []
     if message.taken:
-        lose(state, ownership)
+        drop_ownership(state, ownership)
         return []
     return reclaim(state, message.partition, now)
--- a/gypsumspoke/core/home.py
+++ b/gypsumspoke/core/home.py
@@ -20,7 +20,7 @@
     inquiries,
     intake,
     takeover,
-    takeover_view,
+    takeover_state,
 )
 from gypsumspoke.core.counted import RetryReason
 from gypsumspoke.core.effects import Effect
@@ -52,13 +52,13 @@
     TaskOutcome,
     TaskRunning,
 )
-from gypsumspoke.core.ownership import HandoffWanted, Lost, Serving
+from gypsumspoke.core.ownership import HandoffDue, PartitionLost, PartitionServed
 from gypsumspoke.core.placement import (
     note_load,
     set_members,
     set_policy,
 )
-from gypsumspoke.core.takeover_view import REQUEST_PREFIX, take_notices
+from gypsumspoke.core.takeover_state import REQUEST_PREFIX, pop_notices
 from gypsumspoke.core.values import Member
 
 DRAIN_LIMIT = timedelta(seconds=10)
@@ -186,13 +186,13 @@
 def _(
     message: RememberAck, sender: str, state: HomeState, now: datetime
 ) -> list[Effect]:
-    adoption.retold(state, message)
+    adoption.handle_remember_ack(state, message)
     return fences.remember_acknowledged(state.takeover, message)
 
 
 @_on_message.register
 def _(message: Heartbeat, sender: str, state: HomeState, now: datetime) -> list[Effect]:
-    takeover_view.note_leaving(state.takeover, sender, message.leaving)
+    takeover_state.record_leaving(state.takeover, sender, message.leaving)
     if message.load is not None:
         note_load(state.placement, sender, message.load, now)
     return []
@@ -204,39 +204,39 @@
 
 @_on_message.register
 def _(message: Handoff, sender: str, state: HomeState, now: datetime) -> list[Effect]:
-    return handoffs.handoff_received(state.takeover, message, sender, now)
+    return handoffs.handle_handoff(state.takeover, message, sender, now)
 
 
 @_on_message.register
 def _(
     message: HandoffAck, sender: str, state: HomeState, now: datetime
 ) -> list[Effect]:
-    return handoffs.handoff_acknowledged(state.takeover, message, now)
+    return handoffs.handle_handoff_ack(state.takeover, message, now)
 
 
 @_on.register
 def _(event: RowsRead, state: HomeState, now: datetime) -> list[Effect]:
     if not event.request.startswith(REQUEST_PREFIX):
         return []
-    return takeover.rows_read(state.takeover, event, now)
+    return takeover.handle_rows_read(state.takeover, event, now)
 
 
 @_on.register
 def _(event: RowsWritten, state: HomeState, now: datetime) -> list[Effect]:
     if not event.request.startswith(REQUEST_PREFIX):
         return []
-    return claims.rows_written(state.takeover, event, now)
+    return claims.handle_rows_written(state.takeover, event, now)
 
 
 @_on.register
 def _(event: PartitionsChanged, state: HomeState, now: datetime) -> list[Effect]:
-    takeover_view.set_rows(state.takeover, event.rows, now)
+    takeover_state.set_rows(state.takeover, event.rows, now)
     return []
 
 
 def _act_on_notices(state: HomeState, now: datetime) -> list[Effect]:
     effects: list[Effect] = []
-    while notices := take_notices(state.takeover):
+    while notices := pop_notices(state.takeover):
         for notice in notices:
             effects += _act(notice, state, now)
     return effects
@@ -248,7 +248,7 @@
 
 
 @_act.register
-def _(notice: Serving, state: HomeState, now: datetime) -> list[Effect]:
+def _(notice: PartitionServed, state: HomeState, now: datetime) -> list[Effect]:
     effects: list[Effect] = []
     for parked in adoption.begin_serving(state, notice):
         effects += _on_message(parked.message, parked.sender, state, now)
@@ -256,12 +256,12 @@
 
 
 @_act.register
-def _(notice: Lost, state: HomeState, now: datetime) -> list[Effect]:
+def _(notice: PartitionLost, state: HomeState, now: datetime) -> list[Effect]:
     return adoption.drop_partition(state, notice, now)
 
 
 @_act.register
-def _(notice: HandoffWanted, state: HomeState, now: datetime) -> list[Effect]:
+def _(notice: HandoffDue, state: HomeState, now: datetime) -> list[Effect]:
     return adoption.hand_over(state, notice, now)
 
 
@@ -302,7 +302,7 @@
 @_on.register
 def _(event: ReachabilityChanged, state: HomeState, now: datetime) -> list[Effect]:
     state.reachable = event.reachable
-    takeover_view.set_reachable(state.takeover, event.reachable, now)
+    takeover_state.set_reachable(state.takeover, event.reachable, now)
     _update_placement(state)
     silent = set(state.in_flight) - event.reachable
     state.silent_since = {
@@ -334,7 +334,7 @@
     state.policy = manifest.policy
     state.ledger.set_kept_bytes(manifest.policy.kept_bytes)
     state.team_weights = {team.name: team.weight for team in manifest.teams}
-    takeover_view.set_policy(state.takeover, manifest.policy)
+    takeover_state.set_policy(state.takeover, manifest.policy)
     set_policy(state.placement, manifest.policy)
     return []
 
@@ -343,7 +343,7 @@
 def _(event: Drain, state: HomeState, now: datetime) -> list[Effect]:
     if state.draining_since is None:
         state.draining_since = now
-        takeover_view.set_leaving(state.takeover)
+        takeover_state.set_leaving(state.takeover)
     return []
 
 
@@ -355,6 +355,6 @@
     effects += inquiries.tick(state, now)
     effects += dispatch.scan(state, now)
     effects += intake.expire_parked(state, now)
-    effects += adoption.tell_again(state, now)
+    effects += adoption.resend_lost_records(state, now)
     adoption.expire(state, now)
     return effects
--- a/gypsumspoke/core/home_state.py
+++ b/gypsumspoke/core/home_state.py
@@ -25,7 +25,7 @@
 from gypsumspoke.core.ownership import AdoptedJob, Ownership, Phase
 from gypsumspoke.core.placement import PlacementState, new_placement
 from gypsumspoke.core.policy import DEFAULT_POLICY, Policy
-from gypsumspoke.core.takeover_view import TakeoverState
+from gypsumspoke.core.takeover_state import TakeoverState
 from gypsumspoke.core.values import Answer, AttemptId, JobKey, Member
 
 Request = SubmitJob | QueryJob | CancelJob
--- a/gypsumspoke/core/inquiries.py
+++ b/gypsumspoke/core/inquiries.py
@@ -37,7 +37,7 @@
     effects: list[Effect] = []
     for partition in sorted(_open_partitions(state, lost)):
         effects += _ask(state, partition, lost, True, now)
-    return effects or adoption.retell_lost(state, lost, now)
+    return effects or adoption.send_lost_records(state, lost, now)
 
 
 def tick(state: HomeState, now: datetime) -> list[Effect]:
@@ -49,7 +49,7 @@
         elif now - inquiry.since >= state.policy.unreachable_after:
             # As long as for a silent executor's own tries.
             effects += _settle(state, inquiry, now)
-    for executor in filter(state.takeover.is_gone, list(state.in_flight)):
+    for executor in filter(state.takeover.has_ended, list(state.in_flight)):
         _forget_closed(state, executor)
         for partition in sorted(_open_partitions(state, executor)):
             if (partition, executor) not in state.inquiries:
@@ -165,7 +165,7 @@
     if others:
         others[0].retells = True
         return []
-    return adoption.retell_lost(state, inquiry.lost, now)
+    return adoption.send_lost_records(state, inquiry.lost, now)
 
 
 def _outcome(attempt: AttemptId, placed: Placed, heard: list[FenceAck]) -> TaskOutcome:
--- a/gypsumspoke/core/membership.py
+++ b/gypsumspoke/core/membership.py
@@ -38,10 +38,10 @@
     send_heartbeats,
 )
 from gypsumspoke.core.membership_state import (
-    Heard,
     MembershipState,
     ParseManifest,
     Phase,
+    ReceivedHeartbeat,
 )
 from gypsumspoke.core.membership_view import (
     merge_partitions,
@@ -69,7 +69,7 @@
     """Event: all work is done; end the registration. See ``has_left``."""
 
 
-class ViewDoubted(NamedTuple):
+class ViewOutdated(NamedTuple):
     """Local event: members or map have changed, or seem to; read them again soon."""
 
 
@@ -156,7 +156,7 @@
     return frozenset(state.reachable)
 
 
-def heard(state: MembershipState) -> dict[str, Heard]:
+def last_heartbeats(state: MembershipState) -> dict[str, ReceivedHeartbeat]:
     """Return the last heartbeat of each peer that is heard, by incarnation."""
     return dict(state.heartbeats)
 
@@ -252,7 +252,7 @@
 
 @_on.register
 def _on_view_doubted(
-    event: ViewDoubted, state: MembershipState, now: datetime
+    event: ViewOutdated, state: MembershipState, now: datetime
 ) -> list[Effect]:
     want_spaced(state, MEMBERS_PREFIX, now)
     want_spaced(state, PARTITIONS_PREFIX, now)
@@ -292,7 +292,7 @@
     message: Heartbeat, state: MembershipState, sender: str, now: datetime
 ) -> list[Effect]:
     effects = note_heard(state, sender)
-    state.heartbeats[sender] = Heard(message, now)
+    state.heartbeats[sender] = ReceivedHeartbeat(message, now)
     if message.answer:
         effects += check_clock(state, sender, message.clock, now)
         state.unanswered.pop(sender, None)
--- a/gypsumspoke/core/membership_state.py
+++ b/gypsumspoke/core/membership_state.py
@@ -16,7 +16,7 @@
 ParseManifest = Callable[[str], Result[Manifest, tuple[str, ...]]]
 
 
-class Heard(NamedTuple):
+class ReceivedHeartbeat(NamedTuple):
     """The last heartbeat of a peer and our time when it came."""
 
     heartbeat: Heartbeat
@@ -102,7 +102,7 @@
         self.unanswered: dict[str, datetime] = {}
         self.clock_check = ClockCheck()
         self.clock_off = False
-        self.heartbeats: dict[str, Heard] = {}
+        self.heartbeats: dict[str, ReceivedHeartbeat] = {}
         self.last_tick: datetime | None = None
 
     @property
--- a/gypsumspoke/core/ownership.py
+++ b/gypsumspoke/core/ownership.py
@@ -29,7 +29,7 @@
     READING = "reading"
     FENCING = "fencing"
     SERVING = "serving"
-    HANDING = "handing"
+    HANDING_OVER = "handing"
 
 
 class HandedLedger(NamedTuple):
@@ -74,9 +74,9 @@
     Args:
       partition: its number.
       epoch: the epoch of the claim.
-      former: the row that the claim replaces; None for a first claim.
+      replaced_row: the row that the claim replaces; None for a first claim.
       handed: the former owner's ledger, if it handed it over.
-      giver: incarnation that waits for a HandoffAck; empty if none.
+      handoff_sender: incarnation that waits for a HandoffAck; empty if none.
       now: the current time.
 
     ``parts`` holds the answers to fences that are under way, ``heard`` all that came in
@@ -90,34 +90,34 @@
         self,
         partition: int,
         epoch: int,
-        former: PartitionRow | None,
+        replaced_row: PartitionRow | None,
         handed: HandedLedger | None,
-        giver: str,
+        handoff_sender: str,
         now: datetime,
     ) -> None:
         self.partition = partition
         self.epoch = epoch
-        self.former = former
+        self.replaced_row = replaced_row
         self.handed = handed
-        self.giver = giver
+        self.handoff_sender = handoff_sender
         self.phase = Phase.CLAIMING
         self.started = now
-        self.asked = now
+        self.last_request = now
         self.floor = Floor(epoch, 0, now, None)
         self.required: set[str] = set()
-        self.parts: dict[str, list[FenceAck]] = {}
-        self.heard: dict[str, list[FenceAck]] = {}
+        self.partial_acks: dict[str, list[FenceAck]] = {}
+        self.acks: dict[str, list[FenceAck]] = {}
         self.acknowledged: set[str] = set()
-        self.went: set[str] = set()
-        self.awaited: set[str] = set()
-        self.asked_again = now
-        self.unheard: frozenset[str] = frozenset()
+        self.departed: set[str] = set()
+        self.awaiting_second_ack: set[str] = set()
+        self.second_fence_sent = now
+        self.uncovered: frozenset[str] = frozenset()
         self.forgotten_before = NOTHING_FORGOTTEN
-        self.remember_to = ""
+        self.records_target = ""
         self.remembered = False
 
 
-class Serving(NamedTuple):
+class PartitionServed(NamedTuple):
     """Notice: a partition is served from now on."""
 
     partition: int
@@ -126,17 +126,17 @@
     handed: HandedLedger | None
 
 
-class Lost(NamedTuple):
+class PartitionLost(NamedTuple):
     """Notice: another home owns the partition, or the claim failed."""
 
     partition: int
 
 
-class HandoffWanted(NamedTuple):
+class HandoffDue(NamedTuple):
     """Notice: hand the partition to this incarnation."""
 
     partition: int
     target: str
 
 
-Notice = Serving | Lost | HandoffWanted
+Notice = PartitionServed | PartitionLost | HandoffDue
--- a/gypsumspoke/core/self_check.py
+++ b/gypsumspoke/core/pause_check.py
@@ -19,7 +19,7 @@
 _REQUEST = "executor:self"
 
 
-class SelfCheck:
+class PauseCheck:
     """The check of one process.
 
     Args:
@@ -29,37 +29,37 @@
     def __init__(self, incarnation: str) -> None:
         self._row_key = member_key(incarnation)
         self._last_event: datetime | None = None
-        self._is_unsure = False
+        self._is_unverified = False
         self._asked: datetime | None = None
         self._number = 0
 
     @property
-    def is_unsure(self) -> bool:
+    def is_unverified(self) -> bool:
         """Whether nothing may start now."""
-        return self._is_unsure
+        return self._is_unverified
 
-    def note_event(self, now: datetime) -> list[Effect]:
+    def record_event(self, now: datetime) -> list[Effect]:
         """Notice a pause: several ticks a second come to a process that runs."""
         last = self._last_event
         self._last_event = now
         if last is None or now - last < OWN_PAUSE:
             return []
-        self._is_unsure = True
+        self._is_unverified = True
         return self._read(now)
 
     def tick(self, now: datetime) -> list[Effect]:
         """Read again while the table has not answered."""
-        if not self._is_unsure or now - self._asked < READ_RETRY:
+        if not self._is_unverified or now - self._asked < READ_RETRY:
             return []
         return self._read(now)
 
-    def note_rows(self, event: RowsRead) -> None:
+    def handle_rows_read(self, event: RowsRead) -> None:
         """Apply the end of a read, if it is of the last one asked for."""
         if event.request != f"{_REQUEST}:{self._number}":
             return
         for row in event.rows or ():
             if row.key == self._row_key and member_from_row(row).ended is None:
-                self._is_unsure = False
+                self._is_unverified = False
 
     def _read(self, now: datetime) -> list[Effect]:
         # The number tells the answer apart from one asked for before another pause.
--- a/gypsumspoke/core/takeover.py
+++ b/gypsumspoke/core/takeover.py
@@ -26,7 +26,11 @@
 from gypsumspoke.core.handoffs import PROBE, probe_for_handoffs, probe_read, reclaim
 from gypsumspoke.core.ownership import Ownership, Phase
 from gypsumspoke.core.rows import member_from_row
-from gypsumspoke.core.takeover_view import TakeoverState, note_unreachable, of_request
+from gypsumspoke.core.takeover_state import (
+    TakeoverState,
+    ownership_of_request,
+    update_unreachable,
+)
 from gypsumspoke.core.values import Member
 
 CLAIM_INTERVAL = timedelta(milliseconds=500)
@@ -48,15 +52,15 @@
 
 
 def _pursue(state: TakeoverState, ownership: Ownership, now: datetime) -> list[Effect]:
-    if ownership.phase is Phase.HANDING:
-        if now - ownership.asked >= HANDOFF_LIMIT:
+    if ownership.phase is Phase.HANDING_OVER:
+        if now - ownership.last_request >= HANDOFF_LIMIT:
             return reclaim(state, ownership.partition, now)
         return []
     if ownership.phase is Phase.FENCING:
         return pursue_fences(state, ownership, now)
-    if ownership.phase is Phase.READING and now - ownership.asked >= READ_RETRY:
+    if ownership.phase is Phase.READING and now - ownership.last_request >= READ_RETRY:
         return read_members(ownership, now)
-    if ownership.phase is Phase.CLAIMING and now - ownership.asked >= READ_RETRY:
+    if ownership.phase is Phase.CLAIMING and now - ownership.last_request >= READ_RETRY:
         return check_claim(ownership, now)
     if ownership.phase is Phase.SERVING and not ownership.remembered:
         return tell_own_records(state, ownership, now)
@@ -69,21 +73,23 @@
     """Apply a new membership view; an ended executor need not acknowledge."""
     state.members = {member.incarnation: member for member in members}
     state.preferred.clear()
-    note_unreachable(state, now)
+    update_unreachable(state, now)
     effects: list[Effect] = []
     for ownership in list(state.owned.values()):
         if ownership.phase is Phase.FENCING:
-            ended = {name for name in ownership.required if state.is_gone(name)}
+            ended = {name for name in ownership.required if state.has_ended(name)}
             leave_out(ownership, ended)
             effects += finish_if_fenced(state, ownership, now)
     return effects
 
 
-def rows_read(state: TakeoverState, event: RowsRead, now: datetime) -> list[Effect]:
+def handle_rows_read(
+    state: TakeoverState, event: RowsRead, now: datetime
+) -> list[Effect]:
     """Apply the end of one of this module's reads."""
     if event.request.startswith(PROBE):
         return probe_read(state, event)
-    ownership = of_request(state, event.request)
+    ownership = ownership_of_request(state, event.request)
     if ownership is None:
         return []
     if event.request.startswith(CHECK):
--- a/gypsumspoke/core/takeover_view.py
+++ b/gypsumspoke/core/takeover_state.py
@@ -10,7 +10,7 @@
 
 from gypsumspoke.core.effects import Log
 from gypsumspoke.core.messages import Handoff
-from gypsumspoke.core.ownership import Lost, Notice, Ownership
+from gypsumspoke.core.ownership import Notice, Ownership, PartitionLost
 from gypsumspoke.core.partitions import preferred_owner
 from gypsumspoke.core.policy import DEFAULT_POLICY, Policy
 from gypsumspoke.core.values import Member, PartitionRow, Role
@@ -57,12 +57,12 @@
         """Return a known member, ended ones included, or None."""
         return self.members.get(incarnation)
 
-    def is_gone(self, incarnation: str) -> bool:
+    def has_ended(self, incarnation: str) -> bool:
         """Return whether a process is provably gone with its memory."""
         member = self.members.get(incarnation)
         return member is not None and member.ended is not None
 
-    def other_sidecars(self) -> list[str]:
+    def available_peers(self) -> list[str]:
         """Return other sidecars that answer and don't leave, in order."""
         return sorted(
             member.incarnation
@@ -73,7 +73,7 @@
         )
 
 
-def take_notices(state: TakeoverState) -> list[Notice]:
+def pop_notices(state: TakeoverState) -> list[Notice]:
     """Return what the home has to act on, and forget it."""
     notices, state.notices = state.notices, []
     return notices
@@ -96,10 +96,10 @@
     """Apply which incarnations answer now."""
     state.reachable = reachable
     state.preferred.clear()
-    note_unreachable(state, now)
+    update_unreachable(state, now)
 
 
-def note_unreachable(state: TakeoverState, now: datetime) -> None:
+def update_unreachable(state: TakeoverState, now: datetime) -> None:
     names = {member.incarnation for member in state.sidecars}
     names |= {row.owner for row in state.rows.values()} - set(state.members)
     silent = names - state.reachable - {state.incarnation}
@@ -108,7 +108,7 @@
     }
 
 
-def note_leaving(state: TakeoverState, incarnation: str, leaving: bool) -> None:
+def record_leaving(state: TakeoverState, incarnation: str, leaving: bool) -> None:
     """Apply what a heartbeat says: a leaving peer owns nothing new."""
     if leaving and incarnation not in state.leaving_peers:
         state.leaving_peers.add(incarnation)
@@ -127,13 +127,13 @@
         state.rows[row.partition] = row
         ownership = state.owned.get(row.partition)
         if ownership is not None and row.epoch > ownership.epoch:
-            lose(state, ownership)
-    note_unreachable(state, now)
+            drop_ownership(state, ownership)
+    update_unreachable(state, now)
 
 
-def lose(state: TakeoverState, ownership: Ownership) -> None:
+def drop_ownership(state: TakeoverState, ownership: Ownership) -> None:
     state.owned.pop(ownership.partition, None)
-    state.notices.append(Lost(ownership.partition))
+    state.notices.append(PartitionLost(ownership.partition))
 
 
 def is_silent(state: TakeoverState, incarnation: str, now: datetime) -> bool:
@@ -159,11 +159,11 @@
     )
 
 
-def request_of(kind: str, ownership: Ownership) -> str:
+def request_id(kind: str, ownership: Ownership) -> str:
     return f"{kind}:{ownership.partition}:{ownership.epoch}"
 
 
-def of_request(state: TakeoverState, request: str) -> Ownership | None:
+def ownership_of_request(state: TakeoverState, request: str) -> Ownership | None:
     """Return the ownership that a table request was about, if it still stands."""
     partition, epoch = request.rsplit(":", 2)[1:]
     ownership = state.owned.get(int(partition))
@@ -172,6 +172,6 @@
     return ownership
 
 
-def log_of(event: str, ownership: Ownership, **more: str | int) -> Log:
+def ownership_log(event: str, ownership: Ownership, **more: str | int) -> Log:
     fields = (("partition", ownership.partition), ("epoch", ownership.epoch))
     return Log(logging.INFO, event, fields=(*fields, *more.items()))
--- a/gypsumspoke/core/task_starts.py
+++ b/gypsumspoke/core/task_starts.py
@@ -68,7 +68,7 @@
         return RetryReason.JOB_CLOSED
     if state.refused.covers(attempt):
         return RetryReason.REFUSED_FOR_GOOD
-    if state.self_check.is_unsure:
+    if state.pause_check.is_unverified:
         return RetryReason.EXECUTOR_PAUSED
     if state.leaving or state.upstream_leaving:
         return RetryReason.EXECUTOR_LEAVING
@@ -123,7 +123,7 @@
 def start_waiting(state: ExecutorState, now: datetime) -> list[Effect]:
     """Fill free slots from the queue; refuse what waited past its deadline."""
     effects: list[Effect] = []
-    if state.self_check.is_unsure:
+    if state.pause_check.is_unverified:
         return effects
     while state.waiting and len(state.running) < state.slots:
         waiting = state.waiting.popleft()
--- a/gypsumspoke/shell/operator_http.py
+++ b/gypsumspoke/shell/operator_http.py
@@ -198,7 +198,7 @@
         processes = []
         for member in self._live_members():
             version = own if membership.is_self(view, member.incarnation) else None
-            heard = membership.heard(view).get(member.incarnation)
+            heard = membership.last_heartbeats(view).get(member.incarnation)
             if heard is not None:
                 version = heard.heartbeat.manifest_version
             processes.append(
@@ -255,7 +255,7 @@
             "draining": member.draining,
             "reachable": self._is_reachable(member),
         }
-        heard = membership.heard(view).get(member.incarnation)
+        heard = membership.last_heartbeats(view).get(member.incarnation)
         if heard is not None:
             status["leaving"] = heard.heartbeat.leaving
             status["clock_ahead_seconds"] = (
@@ -345,7 +345,7 @@
                 lost = written.outcome is WriteOutcome.LOST
                 kind = ErrorKind.STORE_UNAVAILABLE if lost else ErrorKind.CONFLICT
                 raise _Refused(kind, "the member's row changed meanwhile")
-        self._post(membership.ViewDoubted())
+        self._post(membership.ViewOutdated())
         return changed
 
     def _live_members(self) -> list[Member]:
--- a/tests/core/test_copies.py
+++ b/tests/core/test_copies.py
@@ -5,7 +5,7 @@
 from gypsumspoke.core.effects import Local
 from gypsumspoke.core.errors import ErrorKind, Work
 from gypsumspoke.core.events import PeerLost, Tick
-from gypsumspoke.core.membership import ViewDoubted
+from gypsumspoke.core.membership import ViewOutdated
 from tests.core.entry_reducer import DONE, MILLISECOND, SECOND, START, Entry, refused
 
 
@@ -48,7 +48,7 @@
     process = Entry()
     process.submit()
     process.answer(refused(ErrorKind.NOT_OWNER))
-    assert Local(ViewDoubted()) in process.last
+    assert Local(ViewOutdated()) in process.last
     assert not process.delivered()
     process.event(Tick(), after=SECOND)
     assert [to for to, _ in process.sent()] == ["h1"]
--- a/tests/core/test_fences.py
+++ b/tests/core/test_fences.py
@@ -11,8 +11,8 @@
     pursue_fences,
 )
 from gypsumspoke.core.messages import FenceAck
-from gypsumspoke.core.ownership import Ownership, Phase, Serving
-from gypsumspoke.core.takeover_view import TakeoverState, take_notices
+from gypsumspoke.core.ownership import Ownership, PartitionServed, Phase
+from gypsumspoke.core.takeover_state import TakeoverState, pop_notices
 from gypsumspoke.core.values import (
     NOTHING_FORGOTTEN,
     AttemptId,
@@ -60,7 +60,7 @@
 
 
 def _served(state):
-    (notice,) = (one for one in take_notices(state) if isinstance(one, Serving))
+    (notice,) = (one for one in pop_notices(state) if isinstance(one, PartitionServed))
     return notice
 
 
@@ -88,7 +88,7 @@
     leave_out(ownership, {LATE})
     finish_if_fenced(state, ownership, START)
     fence_acknowledged(state, _answer(HOME, 0, 1), START)
-    assert ownership.awaited == {OTHER}
+    assert ownership.awaiting_second_ack == {OTHER}
     fence_acknowledged(state, _answer(OTHER, 0, 2, covers=(LATE,)), START)
     assert ownership.phase is Phase.FENCING
     late = START + ASKED_AGAIN_LIMIT
@@ -96,4 +96,4 @@
     assert ownership.phase is Phase.FENCING
     pursue_fences(state, ownership, late)
     assert ownership.phase is Phase.SERVING
-    assert ownership.unheard == {LATE}
+    assert ownership.uncovered == {LATE}
--- a/tests/core/test_safeguards.py
+++ b/tests/core/test_safeguards.py
@@ -16,8 +16,8 @@
     home,
     inquiries,
     ledger,
+    pause_check,
     refused_marks,
-    self_check,
     start_records,
     task_starts,
     told_records,
@@ -51,7 +51,7 @@
 
 def _uncovered_but_for_the_former_owner(state, ownership, parts, now):
     found = _UNCOVERED(state, ownership, parts, now)
-    former = ownership.former
+    former = ownership.replaced_row
     return found - ({former.owner} if former is not None else set())
 
 
@@ -99,8 +99,8 @@
         id="refused tries are marked",
     ),
     pytest.param(
-        self_check.SelfCheck,
-        "note_event",
+        pause_check.PauseCheck,
+        "record_event",
         lambda self, now: [],
         histories.test_a_replaced_pair_that_wakes_starts_nothing,
         id="a paused executor asks whether it still counts",
@@ -156,7 +156,7 @@
     ),
     pytest.param(
         home.adoption,
-        "retell_lost",
+        "send_lost_records",
         lambda state, lost, now: [],
         histories.test_a_home_tells_on_what_a_lost_executor_knew,
         id="homes tell on what lost executors knew",
