--- a/gypsumspoke/core/adoption.py
+++ b/gypsumspoke/core/adoption.py
@@ -60,7 +60,7 @@
     partition = notice.partition
     adopted = dict(notice.adopted)
     if notice.handed is not None:
-        _keep_handed(state, partition, notice.handed, adopted)
+        _adopt_ledger(state, partition, notice.handed, adopted)
     for closed in notice.closed:
         adopted.pop(closed.key, None)
         if state.ledger.finished(partition, closed.key) is None:
@@ -69,7 +69,7 @@
     return state.parked.pop(partition, [])
 
 
-def _keep_handed(
+def _adopt_ledger(
     state: HomeState,
     partition: int,
     handed: HandedLedger,
@@ -330,11 +330,11 @@
             continue
         # Who went before it was heard may have started tasks unknown here.
         if lost not in ownership.uncovered:
-            effects += _retell(state, ownership, lost, now)
+            effects += _send_lost_records_of(state, ownership, lost, now)
     return effects
 
 
-def _retell(
+def _send_lost_records_of(
     state: HomeState, ownership: Ownership, lost: str, now: datetime
 ) -> list[Effect]:
     others = state.takeover.available_peers()
@@ -348,7 +348,7 @@
         for record in state.ledger.all_finished(partition)
         if record.answer.kind is not ErrorKind.RECORDS_LOST
     ]
-    started = _started_at(state, partition, lost)
+    started = _records_held_by(state, partition, lost)
     target = others[state.placement_number % len(others)]
     messages = remember_messages(
         partition,
@@ -369,7 +369,7 @@
     )
 
 
-def _started_at(state: HomeState, partition: int, lost: str) -> list[StartRecord]:
+def _records_held_by(state: HomeState, partition: int, lost: str) -> list[StartRecord]:
     """Return the start records that only the lost executor held."""
     started = [
         record
@@ -414,5 +414,5 @@
         del state.retellings[place]
         ownership = state.serving(place[0])
         if ownership is not None and place[1].endswith(f"@{ownership.epoch}"):
-            effects += _retell(state, ownership, retelling.lost, now)
+            effects += _send_lost_records_of(state, ownership, retelling.lost, now)
     return effects
--- a/gypsumspoke/core/claims.py
+++ b/gypsumspoke/core/claims.py
@@ -35,13 +35,13 @@
 CHECK = REQUEST_PREFIX + "check"
 
 
-def claim_due(state: TakeoverState, now: datetime) -> list[Effect]:
+def claim_unserved(state: TakeoverState, now: datetime) -> list[Effect]:
     """Claim partitions that nobody serves and that prefer this home."""
     if not _may_claim(state, now):
         return []
     effects: list[Effect] = []
     for partition in range(state.partition_count):
-        if partition in state.owned or not _prefers_me(state, partition):
+        if partition in state.owned or not _prefers_this_home(state, partition):
             continue
         row = state.rows.get(partition)
         if row is None or _is_abandoned(state, row, now):
@@ -56,7 +56,7 @@
     return now - state.joined >= state.policy.takeover_after
 
 
-def _prefers_me(state: TakeoverState, partition: int) -> bool:
+def _prefers_this_home(state: TakeoverState, partition: int) -> bool:
     owner = preferred(state, partition)
     return owner is not None and owner.incarnation == state.incarnation
 
@@ -108,7 +108,7 @@
     return WriteRows(request_id(CLAIM, ownership), ((key, version),), ((key, value),))
 
 
-def check_claim(ownership: Ownership, now: datetime) -> list[Effect]:
+def read_back_claim(ownership: Ownership, now: datetime) -> list[Effect]:
     """Read back a claim whose answer did not come: it may have taken effect."""
     ownership.last_request = now
     key = partition_key(ownership.partition)
@@ -128,11 +128,11 @@
     if event.outcome is WriteOutcome.COMMITTED:
         return _claimed(state, ownership, event.revision, now)
     if event.outcome is WriteOutcome.CONFLICT:
-        return [Count(RetryReason.TABLE_CONFLICT)] + check_claim(ownership, now)
-    return check_claim(ownership, now)
+        return [Count(RetryReason.TABLE_CONFLICT)] + read_back_claim(ownership, now)
+    return read_back_claim(ownership, now)
 
 
-def claim_read(
+def handle_claim_read(
     state: TakeoverState, ownership: Ownership, event: RowsRead, now: datetime
 ) -> list[Effect]:
     """Apply a read back of the partition's row while the claim is in doubt."""
@@ -148,12 +148,12 @@
         state.rows[row.partition] = row
         return _claim_failed(state, ownership)
     ownership.last_request = now
-    if _is_needless(state, ownership, now):
+    if _is_superfluous(state, ownership, now):
         return _claim_failed(state, ownership)
     return [_claim_write(state, ownership, now)]
 
 
-def _is_needless(state: TakeoverState, ownership: Ownership, now: datetime) -> bool:
+def _is_superfluous(state: TakeoverState, ownership: Ownership, now: datetime) -> bool:
     """Return whether the owner came back while the table was down."""
     former = ownership.replaced_row
     if former is None or ownership.handed is not None:
@@ -187,12 +187,12 @@
         effects.append(Send(ownership.handoff_sender, answer))
     if ownership.replaced_row is None:
         # No home ever owned it, so nothing can have started or been refused.
-        ownership.floor = Floor(ownership.epoch, 0, _never(now), None)
+        ownership.floor = Floor(ownership.epoch, 0, _before_any_birth(now), None)
         ownership.remembered = True
         return effects + serve(state, ownership, {}, (), now)
     return effects + read_members(ownership, now)
 
 
-def _never(now: datetime) -> datetime:
+def _before_any_birth(now: datetime) -> datetime:
     """Return a time before every birth that is still accepted."""
     return datetime.min.replace(tzinfo=now.tzinfo)
--- a/gypsumspoke/core/clock_check.py
+++ b/gypsumspoke/core/clock_check.py
@@ -16,7 +16,7 @@
     def __init__(self) -> None:
         self._disagrees: dict[str, bool] = {}
 
-    def note_answer(
+    def record_answer(
         self,
         peer: str,
         asked: datetime,
--- a/gypsumspoke/core/handoffs.py
+++ b/gypsumspoke/core/handoffs.py
@@ -22,31 +22,31 @@
 )
 from gypsumspoke.core.values import PartitionRow
 
-HANDOFFS_AT_ONCE = 8
+MAX_CONCURRENT_HANDOFFS = 8
 PROBE = REQUEST_PREFIX + "probe"
 
 
 def probe_for_handoffs(state: TakeoverState) -> list[Effect]:
     """Hand over only while the table answers: the next home must write its claim."""
-    wanted = _handoffs_wanted(state)
+    wanted = _handoffs_due(state)
     if not wanted:
         return []
     return [ReadRows(f"{PROBE}:0:0", partition_key(wanted[0].partition))]
 
 
-def probe_read(state: TakeoverState, event: RowsRead) -> list[Effect]:
+def handle_probe_read(state: TakeoverState, event: RowsRead) -> list[Effect]:
     if event.rows is not None:
-        state.notices += _handoffs_wanted(state)
+        state.notices += _handoffs_due(state)
     return []
 
 
-def _handoffs_wanted(state: TakeoverState) -> list[HandoffDue]:
+def _handoffs_due(state: TakeoverState) -> list[HandoffDue]:
     handing = sum(
         ownership.phase is Phase.HANDING_OVER for ownership in state.owned.values()
     )
     wanted: list[HandoffDue] = []
     for partition, ownership in sorted(state.owned.items()):
-        if len(wanted) + handing >= HANDOFFS_AT_ONCE:
+        if len(wanted) + handing >= MAX_CONCURRENT_HANDOFFS:
             break
         target = preferred(state, partition)
         if ownership.phase is not Phase.SERVING or target is None:
--- a/gypsumspoke/core/heartbeats.py
+++ b/gypsumspoke/core/heartbeats.py
@@ -9,16 +9,16 @@
 from gypsumspoke.core.membership_state import MembershipState, Phase
 from gypsumspoke.core.messages import Heartbeat, ManifestRequest
 from gypsumspoke.core.rows import MEMBERS_PREFIX, PARTITIONS_PREFIX
-from gypsumspoke.core.table_reads import issue_reads, want_spaced
+from gypsumspoke.core.table_reads import issue_reads, schedule_spaced_read
 
 HEARTBEAT_INTERVAL = timedelta(seconds=1)
-HEARTBEAT_SOONEST = timedelta(milliseconds=200)
-ANSWER_WITHIN = timedelta(seconds=3)
-FULL_MESH_LIMIT = 16
+MIN_HEARTBEAT_INTERVAL = timedelta(milliseconds=200)
+ANSWER_TIMEOUT = timedelta(seconds=3)
+MAX_FULL_MESH_PEERS = 16
 RING_PEERS = 4
 RANDOM_PEERS = 4
-MANIFEST_ASK_AGAIN = timedelta(seconds=1)
-OWN_PAUSE = timedelta(seconds=1)
+MANIFEST_RETRY_DELAY = timedelta(seconds=1)
+MIN_OWN_PAUSE = timedelta(seconds=1)
 
 
 def new_heartbeat(state: MembershipState, now: datetime, answer: bool) -> Heartbeat:
@@ -35,11 +35,11 @@
     )
 
 
-def heartbeat_soon(state: MembershipState, now: datetime) -> None:
+def expedite_heartbeat(state: MembershipState, now: datetime) -> None:
     """Bring the next heartbeat forward so that a change spreads without delay."""
     earliest = now
     if state.last_heartbeat is not None:
-        earliest = max(now, state.last_heartbeat + HEARTBEAT_SOONEST)
+        earliest = max(now, state.last_heartbeat + MIN_HEARTBEAT_INTERVAL)
     if state.next_heartbeat is None or earliest < state.next_heartbeat:
         state.next_heartbeat = earliest
 
@@ -72,7 +72,7 @@
         for incarnation, member in state.members.items()
         if member.ended is None and incarnation != own
     )
-    if len(peers) <= FULL_MESH_LIMIT:
+    if len(peers) <= MAX_FULL_MESH_PEERS:
         return peers
     start = sum(peer < own for peer in peers)
     ring = [peers[(start + step) % len(peers)] for step in range(RING_PEERS)]
@@ -80,7 +80,7 @@
     return ring + state.random.sample(others, RANDOM_PEERS)
 
 
-def note_heard(state: MembershipState, peer: str) -> list[Effect]:
+def record_reachable(state: MembershipState, peer: str) -> list[Effect]:
     """Take a peer as reachable, unless its registration has ended."""
     member = state.members.get(peer)
     has_ended = member is not None and member.ended is not None
@@ -90,7 +90,7 @@
     return [_reachability(state)]
 
 
-def note_lost(state: MembershipState, peer: str) -> list[Effect]:
+def record_unreachable(state: MembershipState, peer: str) -> list[Effect]:
     """Take a peer as unreachable and forget what it said."""
     state.unanswered.pop(peer, None)
     state.heartbeats.pop(peer, None)
@@ -109,18 +109,18 @@
     """Take peers as lost that leave heartbeats unanswered over a live connection."""
     effects: list[Effect] = []
     for peer, asked in list(state.unanswered.items()):
-        if now - asked > ANSWER_WITHIN:
-            effects += note_lost(state, peer)
+        if now - asked > ANSWER_TIMEOUT:
+            effects += record_unreachable(state, peer)
     return effects
 
 
-def forgive_own_pause(state: MembershipState, now: datetime) -> None:
+def reset_after_own_pause(state: MembershipState, now: datetime) -> None:
     """After our own pause, judge nobody by questions asked before it.
 
     The answers wait unread in our buffers: all peers would look silent for a moment,
     and their clocks behind ours.
     """
-    paused = state.last_tick is not None and now - state.last_tick > OWN_PAUSE
+    paused = state.last_tick is not None and now - state.last_tick > MIN_OWN_PAUSE
     state.last_tick = now
     if paused:
         state.unanswered.clear()
@@ -132,7 +132,7 @@
     for peer in sorted(state.reachable | set(state.unanswered)):
         member = state.members.get(peer)
         if member is not None and member.ended is not None:
-            effects += note_lost(state, peer)
+            effects += record_unreachable(state, peer)
     return effects
 
 
@@ -144,7 +144,7 @@
     if asked is None:
         return []
     skew = state.policy.clock_skew
-    state.clock_check.note_answer(peer, asked, now, peer_time, skew)
+    state.clock_check.record_answer(peer, asked, now, peer_time, skew)
     was_off = state.clock_off
     state.clock_off = state.clock_check.is_off()
     if state.clock_off == was_off:
@@ -161,20 +161,20 @@
     if state.phase is not Phase.REGISTERED:
         return []
     if heartbeat.members_version > state.members_version:
-        want_spaced(state, MEMBERS_PREFIX, now)
+        schedule_spaced_read(state, MEMBERS_PREFIX, now)
     if heartbeat.partitions_version > state.partitions_version:
-        want_spaced(state, PARTITIONS_PREFIX, now)
+        schedule_spaced_read(state, PARTITIONS_PREFIX, now)
     effects = issue_reads(state, now)
     if heartbeat.manifest_version > max(
         state.manifest_version, state.rejected_manifest
     ):
-        effects += _ask_manifest(state, peer, now)
+        effects += _request_manifest(state, peer, now)
     return effects
 
 
-def _ask_manifest(state: MembershipState, peer: str, now: datetime) -> list[Effect]:
-    asked = state.manifest_asked
-    if asked is not None and now - asked < MANIFEST_ASK_AGAIN:
+def _request_manifest(state: MembershipState, peer: str, now: datetime) -> list[Effect]:
+    asked = state.manifest_requested
+    if asked is not None and now - asked < MANIFEST_RETRY_DELAY:
         return []
-    state.manifest_asked = now
+    state.manifest_requested = now
     return [Send(peer, ManifestRequest(state.manifest_version))]
--- a/gypsumspoke/core/membership.py
+++ b/gypsumspoke/core/membership.py
@@ -29,12 +29,12 @@
 from gypsumspoke.core.heartbeats import (
     catch_up,
     check_clock,
+    expedite_heartbeat,
     expire_unanswered,
-    forgive_own_pause,
-    heartbeat_soon,
     new_heartbeat,
-    note_heard,
-    note_lost,
+    record_reachable,
+    record_unreachable,
+    reset_after_own_pause,
     send_heartbeats,
 )
 from gypsumspoke.core.membership_state import (
@@ -44,24 +44,29 @@
     ReceivedHeartbeat,
 )
 from gypsumspoke.core.membership_view import (
+    apply_manifest,
+    apply_manifest_rows,
+    apply_member_rows,
+    apply_partition_rows,
     merge_partitions,
-    read_manifest,
-    read_members,
-    read_partitions,
-    take_manifest,
 )
 from gypsumspoke.core.messages import Heartbeat, ManifestRequest, ManifestUpdate
 from gypsumspoke.core.policy import Manifest
 from gypsumspoke.core.registration import (
-    abandon_overdue,
     begin_leaving,
-    clean,
-    leave_in_time,
-    not_written,
-    written,
+    delete_ended_row,
+    expire_table_requests,
+    handle_write_committed,
+    handle_write_failed,
+    leave_on_timeout,
 )
 from gypsumspoke.core.rows import MEMBERS_PREFIX, PARTITIONS_PREFIX
-from gypsumspoke.core.table_reads import issue_reads, retry_later, want, want_spaced
+from gypsumspoke.core.table_reads import (
+    issue_reads,
+    schedule_read,
+    schedule_retry,
+    schedule_spaced_read,
+)
 from gypsumspoke.core.values import Load, Member, PartitionRow, Row
 
 
@@ -180,12 +185,12 @@
     if state.phase is Phase.LEFT:
         return []
     if state.phase is Phase.NEW and not state.reads and not state.due:
-        want(state, MEMBERS_PREFIX, now)
-    forgive_own_pause(state, now)
-    effects = abandon_overdue(state, now)
-    effects += leave_in_time(state, now)
+        schedule_read(state, MEMBERS_PREFIX, now)
+    reset_after_own_pause(state, now)
+    effects = expire_table_requests(state, now)
+    effects += leave_on_timeout(state, now)
     effects += issue_reads(state, now)
-    effects += clean(state, now)
+    effects += delete_ended_row(state, now)
     effects += send_heartbeats(state, now)
     effects += expire_unanswered(state, now)
     return effects
@@ -195,7 +200,7 @@
 def _on_drain(event: Drain, state: MembershipState, now: datetime) -> list[Effect]:
     if not state.draining:
         state.draining = True
-        heartbeat_soon(state, now)
+        expedite_heartbeat(state, now)
     return []
 
 
@@ -215,29 +220,29 @@
         return []
     del state.reads[prefix]
     if event.rows is None:
-        retry_later(state, prefix, now)
+        schedule_retry(state, prefix, now)
         return []
     state.failures = 0
     if prefix == MEMBERS_PREFIX:
-        return read_members(state, event.rows, now)
+        return apply_member_rows(state, event.rows, now)
     if prefix == PARTITIONS_PREFIX:
-        return read_partitions(state, event.rows, now)
-    return read_manifest(state, event.rows, now)
+        return apply_partition_rows(state, event.rows, now)
+    return apply_manifest_rows(state, event.rows, now)
 
 
 @_on.register
 def _on_rows_written(
     event: RowsWritten, state: MembershipState, now: datetime
 ) -> list[Effect]:
-    if state.cleaning and state.cleaning.request == event.request:
-        state.cleaning = None
+    if state.deletion and state.deletion.request == event.request:
+        state.deletion = None
         return []
     if state.write is None or state.write.request != event.request:
         return []
     state.write = None
     if event.outcome is WriteOutcome.COMMITTED:
-        return written(state, now)
-    return not_written(state, event.outcome, now)
+        return handle_write_committed(state, now)
+    return handle_write_failed(state, event.outcome, now)
 
 
 @_on.register
@@ -246,7 +251,7 @@
 ) -> list[Effect]:
     # A home tells of rows that it wrote itself; its heartbeats then carry the version.
     if merge_partitions(state, event.rows):
-        heartbeat_soon(state, now)
+        expedite_heartbeat(state, now)
     return []
 
 
@@ -254,8 +259,8 @@
 def _on_view_doubted(
     event: ViewOutdated, state: MembershipState, now: datetime
 ) -> list[Effect]:
-    want_spaced(state, MEMBERS_PREFIX, now)
-    want_spaced(state, PARTITIONS_PREFIX, now)
+    schedule_spaced_read(state, MEMBERS_PREFIX, now)
+    schedule_spaced_read(state, PARTITIONS_PREFIX, now)
     return issue_reads(state, now)
 
 
@@ -263,14 +268,14 @@
 def _on_peer_connected(
     event: PeerConnected, state: MembershipState, now: datetime
 ) -> list[Effect]:
-    return note_heard(state, event.incarnation)
+    return record_reachable(state, event.incarnation)
 
 
 @_on.register
 def _on_peer_lost(
     event: PeerLost, state: MembershipState, now: datetime
 ) -> list[Effect]:
-    return note_lost(state, event.incarnation)
+    return record_unreachable(state, event.incarnation)
 
 
 @_on.register
@@ -291,7 +296,7 @@
 def _on_heartbeat(
     message: Heartbeat, state: MembershipState, sender: str, now: datetime
 ) -> list[Effect]:
-    effects = note_heard(state, sender)
+    effects = record_reachable(state, sender)
     state.heartbeats[sender] = ReceivedHeartbeat(message, now)
     if message.answer:
         effects += check_clock(state, sender, message.clock, now)
@@ -316,5 +321,5 @@
 def _on_manifest_update(
     message: ManifestUpdate, state: MembershipState, sender: str, now: datetime
 ) -> list[Effect]:
-    state.manifest_asked = None
-    return take_manifest(state, message.version, message.text, now)
+    state.manifest_requested = None
+    return apply_manifest(state, message.version, message.text, now)
--- a/gypsumspoke/core/membership_state.py
+++ b/gypsumspoke/core/membership_state.py
@@ -77,8 +77,8 @@
         self.last_read: dict[str, datetime] = {}
         self.failures = 0
         self.write: Pending | None = None
-        self.cleaning: Pending | None = None
-        self.next_cleaning: datetime | None = None
+        self.deletion: Pending | None = None
+        self.next_deletion: datetime | None = None
         self.leave_deadline: datetime | None = None
         self.map_readable = False
         self.map_read = False
@@ -94,7 +94,7 @@
         self.manifest_text = ""
         self.manifest_version = 0
         self.rejected_manifest = 0
-        self.manifest_asked: datetime | None = None
+        self.manifest_requested: datetime | None = None
         # Peers.
         self.next_heartbeat: datetime | None = None
         self.last_heartbeat: datetime | None = None
--- a/gypsumspoke/core/membership_view.py
+++ b/gypsumspoke/core/membership_view.py
@@ -17,11 +17,11 @@
     MembersChanged,
     PartitionsChanged,
 )
-from gypsumspoke.core.heartbeats import drop_ended_peers, heartbeat_soon
+from gypsumspoke.core.heartbeats import drop_ended_peers, expedite_heartbeat
 from gypsumspoke.core.membership_state import MembershipState, Phase
 from gypsumspoke.core.registration import (
+    confirm_registration,
     continue_leaving,
-    registered_by_read_back,
     write_registration,
 )
 from gypsumspoke.core.rows import (
@@ -31,11 +31,15 @@
     member_from_row,
     partition_from_row,
 )
-from gypsumspoke.core.table_reads import issue_reads, read_again, want
+from gypsumspoke.core.table_reads import (
+    issue_reads,
+    schedule_periodic_read,
+    schedule_read,
+)
 from gypsumspoke.core.values import Member, PartitionRow, Row
 
 
-def read_members(
+def apply_member_rows(
     state: MembershipState, rows: tuple[Row, ...], now: datetime
 ) -> list[Effect]:
     """Take the member rows, and go on with the own registration by them."""
@@ -46,21 +50,21 @@
     if state.phase is Phase.NEW:
         if not own:
             return effects + write_registration(state, now)
-        effects += registered_by_read_back(state, now)
+        effects += confirm_registration(state, now)
         changed = True
     if state.phase is not Phase.REGISTERED:
         return effects
     if not state.map_readable:
         state.map_readable = True
         changed = True
-        want(state, PARTITIONS_PREFIX, now)
-        want(state, MANIFEST_KEY, now)
+        schedule_read(state, PARTITIONS_PREFIX, now)
+        schedule_read(state, MANIFEST_KEY, now)
     if changed:
-        heartbeat_soon(state, now)
+        expedite_heartbeat(state, now)
         effects.append(Local(MembersChanged(state.all_members())))
         effects += drop_ended_peers(state)
-    effects += _notice_own_row(state, now)
-    read_again(state, MEMBERS_PREFIX, now)
+    effects += _check_own_row(state, now)
+    schedule_periodic_read(state, MEMBERS_PREFIX, now)
     return effects + issue_reads(state, now)
 
 
@@ -88,7 +92,7 @@
     return changed, effects
 
 
-def _notice_own_row(state: MembershipState, now: datetime) -> list[Effect]:
+def _check_own_row(state: MembershipState, now: datetime) -> list[Effect]:
     """Drain when an operator asks for it, or when others take this process for gone.
 
     Others no longer wait for an ended incarnation's fence acknowledgements, so work
@@ -108,11 +112,11 @@
 
 def _start_draining(state: MembershipState, now: datetime) -> list[Effect]:
     state.draining = True
-    heartbeat_soon(state, now)
+    expedite_heartbeat(state, now)
     return [Local(Drain())]
 
 
-def read_partitions(
+def apply_partition_rows(
     state: MembershipState, rows: tuple[Row, ...], now: datetime
 ) -> list[Effect]:
     """Take the rows of the partition map and tell those that changed."""
@@ -125,12 +129,12 @@
             effects.append(
                 Log(logging.ERROR, "bad partition row", fields=(("error", str(error)),))
             )
-    read_again(state, PARTITIONS_PREFIX, now)
+    schedule_periodic_read(state, PARTITIONS_PREFIX, now)
     changed = merge_partitions(state, tuple(found))
     is_first = not state.map_read
     state.map_read = True
     if changed:
-        heartbeat_soon(state, now)
+        expedite_heartbeat(state, now)
     if changed or is_first:
         # Executors refuse all starts until the map was read, be it empty.
         effects.append(Local(PartitionsChanged(changed)))
@@ -153,18 +157,18 @@
     return tuple(changed)
 
 
-def read_manifest(
+def apply_manifest_rows(
     state: MembershipState, rows: tuple[Row, ...], now: datetime
 ) -> list[Effect]:
     """Take the manifest's row, if there is one yet."""
-    read_again(state, MANIFEST_KEY, now)
+    schedule_periodic_read(state, MANIFEST_KEY, now)
     for row in rows:
         if row.key == MANIFEST_KEY and row.value is not None:
-            return take_manifest(state, row.version, row.value, now)
+            return apply_manifest(state, row.version, row.value, now)
     return []
 
 
-def take_manifest(
+def apply_manifest(
     state: MembershipState, version: int, text: str, now: datetime
 ) -> list[Effect]:
     """Put a manifest in force if it is newer.
@@ -182,7 +186,7 @@
     state.manifest = result.unwrap()
     state.manifest_text = text
     state.manifest_version = version
-    heartbeat_soon(state, now)
+    expedite_heartbeat(state, now)
     return [
         ApplyManifest(version, text),
         Count(Counter.MANIFEST_APPLIED),
--- a/gypsumspoke/core/pause_check.py
+++ b/gypsumspoke/core/pause_check.py
@@ -14,8 +14,8 @@
 from gypsumspoke.core.events import RowsRead
 from gypsumspoke.core.rows import member_from_row, member_key
 
-OWN_PAUSE = timedelta(seconds=2)
-READ_RETRY = timedelta(seconds=1)
+MIN_PAUSE = timedelta(seconds=2)
+READ_RETRY_DELAY = timedelta(seconds=1)
 _REQUEST = "executor:self"
 
 
@@ -42,14 +42,14 @@
         """Notice a pause: several ticks a second come to a process that runs."""
         last = self._last_event
         self._last_event = now
-        if last is None or now - last < OWN_PAUSE:
+        if last is None or now - last < MIN_PAUSE:
             return []
         self._is_unverified = True
         return self._read(now)
 
     def tick(self, now: datetime) -> list[Effect]:
         """Read again while the table has not answered."""
-        if not self._is_unverified or now - self._asked < READ_RETRY:
+        if not self._is_unverified or now - self._asked < READ_RETRY_DELAY:
             return []
         return self._read(now)
 
--- a/gypsumspoke/core/registration.py
+++ b/gypsumspoke/core/registration.py
@@ -12,27 +12,32 @@
 from gypsumspoke.core.events import WriteOutcome
 from gypsumspoke.core.membership_state import MembershipState, Phase
 from gypsumspoke.core.rows import MEMBERS_PREFIX, member_key, member_value
-from gypsumspoke.core.table_reads import issue_reads, new_request, retry_later, want
+from gypsumspoke.core.table_reads import (
+    issue_reads,
+    new_request,
+    schedule_read,
+    schedule_retry,
+)
 from gypsumspoke.core.values import MAX_RETENTION
 
-TABLE_ANSWER_WITHIN = timedelta(seconds=15)
-CLEANING_INTERVAL = timedelta(seconds=10)
-SKEWS_BEFORE_CLEANING = 10
-LEAVE_WITHIN = timedelta(seconds=3)
+TABLE_ANSWER_TIMEOUT = timedelta(seconds=15)
+DELETION_INTERVAL = timedelta(seconds=10)
+DELETION_MARGIN_SKEWS = 10
+LEAVE_TIMEOUT = timedelta(seconds=3)
 
 
-def abandon_overdue(state: MembershipState, now: datetime) -> list[Effect]:
+def expire_table_requests(state: MembershipState, now: datetime) -> list[Effect]:
     """Give up on table requests that nobody answers any more."""
-    limit = now - TABLE_ANSWER_WITHIN
+    limit = now - TABLE_ANSWER_TIMEOUT
     for prefix, pending in list(state.reads.items()):
         if pending.sent < limit:
             del state.reads[prefix]
-            retry_later(state, prefix, now)
-    if state.cleaning and state.cleaning.sent < limit:
-        state.cleaning = None
+            schedule_retry(state, prefix, now)
+    if state.deletion and state.deletion.sent < limit:
+        state.deletion = None
     if state.write and state.write.sent < limit:
         state.write = None
-        return not_written(state, WriteOutcome.LOST, now)
+        return handle_write_failed(state, WriteOutcome.LOST, now)
     return []
 
 
@@ -61,9 +66,9 @@
         return []
     state.phase = Phase.LEAVING
     state.write = None
-    state.leave_deadline = now + LEAVE_WITHIN
+    state.leave_deadline = now + LEAVE_TIMEOUT
     if state.own_row is None:
-        want(state, MEMBERS_PREFIX, now)
+        schedule_read(state, MEMBERS_PREFIX, now)
         return issue_reads(state, now)
     return _write_leave(state, now)
 
@@ -81,7 +86,7 @@
     ]
 
 
-def written(state: MembershipState, now: datetime) -> list[Effect]:
+def handle_write_committed(state: MembershipState, now: datetime) -> list[Effect]:
     """Go on after the registration, or its end, was written."""
     if state.phase is Phase.LEAVING:
         state.phase = Phase.LEFT
@@ -89,7 +94,7 @@
     return _registered(state, now)
 
 
-def not_written(
+def handle_write_failed(
     state: MembershipState, outcome: WriteOutcome, now: datetime
 ) -> list[Effect]:
     """Read back: a lost answer may hide a write that took effect.
@@ -100,14 +105,14 @@
     if state.phase is Phase.REGISTERING:
         state.phase = Phase.NEW
     lost = outcome is WriteOutcome.LOST
-    retry_later(state, MEMBERS_PREFIX, now)
+    schedule_retry(state, MEMBERS_PREFIX, now)
     reason = RetryReason.TABLE_ANSWER_LOST if lost else RetryReason.TABLE_CONFLICT
     return [Count(reason)]
 
 
 def _registered(state: MembershipState, now: datetime) -> list[Effect]:
     state.phase = Phase.REGISTERED
-    want(state, MEMBERS_PREFIX, now)
+    schedule_read(state, MEMBERS_PREFIX, now)
     log = Log(
         logging.INFO,
         "registered",
@@ -116,7 +121,7 @@
     return [log, *issue_reads(state, now)]
 
 
-def leave_in_time(state: MembershipState, now: datetime) -> list[Effect]:
+def leave_on_timeout(state: MembershipState, now: datetime) -> list[Effect]:
     """Leave unregistered when the table is down, so that it can't hold the stop up."""
     if state.phase is not Phase.LEAVING or now < state.leave_deadline:
         return []
@@ -124,22 +129,22 @@
     return [Log(logging.WARNING, "left without ending the registration")]
 
 
-def clean(state: MembershipState, now: datetime) -> list[Effect]:
+def delete_ended_row(state: MembershipState, now: datetime) -> list[Effect]:
     """Delete one row that ended so long ago that nothing refers to it any more.
 
     Each process tries with a chance of one in the number of processes, so that about
     one of them does it in each interval, whatever their number.
     """
-    if state.phase is not Phase.REGISTERED or state.cleaning:
+    if state.phase is not Phase.REGISTERED or state.deletion:
         return []
-    if state.next_cleaning is None:
-        state.next_cleaning = now + CLEANING_INTERVAL
-    if now < state.next_cleaning:
+    if state.next_deletion is None:
+        state.next_deletion = now + DELETION_INTERVAL
+    if now < state.next_deletion:
         return []
-    state.next_cleaning = now + CLEANING_INTERVAL
+    state.next_deletion = now + DELETION_INTERVAL
     # The longest retention that a manifest may set, not the one in force: a longer one
     # set later would make rows matter again that a shorter one let go.
-    limit = now - MAX_RETENTION - SKEWS_BEFORE_CLEANING * state.policy.clock_skew
+    limit = now - MAX_RETENTION - DELETION_MARGIN_SKEWS * state.policy.clock_skew
     old = [
         state.member_rows[incarnation]
         for incarnation, member in sorted(state.members.items())
@@ -149,14 +154,14 @@
     if not old or state.random.random() * max(live, 1) >= 1:
         return []
     row = state.random.choice(old)
-    state.cleaning = new_request(state, "clean", now)
-    want(state, MEMBERS_PREFIX, now + CLEANING_INTERVAL / 2)
+    state.deletion = new_request(state, "clean", now)
+    schedule_read(state, MEMBERS_PREFIX, now + DELETION_INTERVAL / 2)
     return [
-        WriteRows(state.cleaning.request, ((row.key, row.version),), ((row.key, None),))
+        WriteRows(state.deletion.request, ((row.key, row.version),), ((row.key, None),))
     ]
 
 
-def registered_by_read_back(state: MembershipState, now: datetime) -> list[Effect]:
+def confirm_registration(state: MembershipState, now: datetime) -> list[Effect]:
     """The answer to the registration was lost but the write took effect."""
     state.phase = Phase.REGISTERED
     return [Log(logging.INFO, "registration found by reading back")]
--- a/gypsumspoke/core/table_reads.py
+++ b/gypsumspoke/core/table_reads.py
@@ -13,9 +13,9 @@
 
 NAME = "membership"
 ENTRY_READ_INTERVAL = timedelta(seconds=3)
-RETRY_SHORTEST = timedelta(milliseconds=500)
-RETRY_LONGEST = timedelta(seconds=8)
-READ_SPACING = timedelta(milliseconds=500)
+MIN_RETRY_DELAY = timedelta(milliseconds=500)
+MAX_RETRY_DELAY = timedelta(seconds=8)
+MIN_READ_INTERVAL = timedelta(milliseconds=500)
 
 
 def new_request(state: MembershipState, purpose: str, now: datetime) -> Pending:
@@ -24,23 +24,23 @@
     return Pending(f"{NAME}:{purpose}:{state.sequence}", now)
 
 
-def want(state: MembershipState, prefix: str, at: datetime) -> None:
+def schedule_read(state: MembershipState, prefix: str, at: datetime) -> None:
     """Read the rows of a prefix at a time, or earlier if that is planned already."""
     known = state.due.get(prefix)
     state.due[prefix] = min(at, known) if known else at
 
 
-def want_spaced(state: MembershipState, prefix: str, now: datetime) -> None:
+def schedule_spaced_read(state: MembershipState, prefix: str, now: datetime) -> None:
     """Read because a peer knows more, but not at once for each of many peers."""
     last = state.last_read.get(prefix)
-    want(state, prefix, max(now, last + READ_SPACING) if last else now)
+    schedule_read(state, prefix, max(now, last + MIN_READ_INTERVAL) if last else now)
 
 
-def retry_later(state: MembershipState, prefix: str, now: datetime) -> None:
+def schedule_retry(state: MembershipState, prefix: str, now: datetime) -> None:
     """Wait longer after each failure, spread so that processes don't come at once."""
     state.failures += 1
-    ceiling = min(RETRY_SHORTEST * 2 ** min(state.failures, 10), RETRY_LONGEST)
-    want(state, prefix, now + ceiling * (0.5 + 0.5 * state.random.random()))
+    ceiling = min(MIN_RETRY_DELAY * 2 ** min(state.failures, 10), MAX_RETRY_DELAY)
+    schedule_read(state, prefix, now + ceiling * (0.5 + 0.5 * state.random.random()))
 
 
 def issue_reads(state: MembershipState, now: datetime) -> list[Effect]:
@@ -59,8 +59,8 @@
     return effects
 
 
-def read_again(state: MembershipState, prefix: str, now: datetime) -> None:
+def schedule_periodic_read(state: MembershipState, prefix: str, now: datetime) -> None:
     """Entries look at the table now and then, so that changes reach the heartbeats."""
     if state.member.role is Role.ENTRY:
         spread = 0.75 + 0.5 * state.random.random()
-        want(state, prefix, now + ENTRY_READ_INTERVAL * spread)
+        schedule_read(state, prefix, now + ENTRY_READ_INTERVAL * spread)
--- a/gypsumspoke/core/takeover.py
+++ b/gypsumspoke/core/takeover.py
@@ -12,7 +12,12 @@
 from collections.abc import Iterable
 from datetime import datetime, timedelta
 
-from gypsumspoke.core.claims import CHECK, check_claim, claim_due, claim_read
+from gypsumspoke.core.claims import (
+    CHECK,
+    claim_unserved,
+    handle_claim_read,
+    read_back_claim,
+)
 from gypsumspoke.core.effects import Effect
 from gypsumspoke.core.events import RowsRead
 from gypsumspoke.core.fences import (
@@ -23,7 +28,12 @@
     read_members,
     tell_own_records,
 )
-from gypsumspoke.core.handoffs import PROBE, probe_for_handoffs, probe_read, reclaim
+from gypsumspoke.core.handoffs import (
+    PROBE,
+    handle_probe_read,
+    probe_for_handoffs,
+    reclaim,
+)
 from gypsumspoke.core.ownership import Ownership, Phase
 from gypsumspoke.core.rows import member_from_row
 from gypsumspoke.core.takeover_state import (
@@ -34,34 +44,40 @@
 from gypsumspoke.core.values import Member
 
 CLAIM_INTERVAL = timedelta(milliseconds=500)
-READ_RETRY = timedelta(seconds=1)
-HANDOFF_LIMIT = timedelta(seconds=3)
+READ_RETRY_DELAY = timedelta(seconds=1)
+HANDOFF_TIMEOUT = timedelta(seconds=3)
 
 
 def tick(state: TakeoverState, now: datetime) -> list[Effect]:
     """Claim, fence again, retry and hand over as time passes."""
     effects: list[Effect] = []
     for ownership in list(state.owned.values()):
-        effects += _pursue(state, ownership, now)
+        effects += _advance(state, ownership, now)
     last = state.last_claim
     if last is None or now - last >= CLAIM_INTERVAL:
         state.last_claim = now
-        effects += claim_due(state, now)
+        effects += claim_unserved(state, now)
         effects += probe_for_handoffs(state)
     return effects
 
 
-def _pursue(state: TakeoverState, ownership: Ownership, now: datetime) -> list[Effect]:
+def _advance(state: TakeoverState, ownership: Ownership, now: datetime) -> list[Effect]:
     if ownership.phase is Phase.HANDING_OVER:
-        if now - ownership.last_request >= HANDOFF_LIMIT:
+        if now - ownership.last_request >= HANDOFF_TIMEOUT:
             return reclaim(state, ownership.partition, now)
         return []
     if ownership.phase is Phase.FENCING:
         return pursue_fences(state, ownership, now)
-    if ownership.phase is Phase.READING and now - ownership.last_request >= READ_RETRY:
+    if (
+        ownership.phase is Phase.READING
+        and now - ownership.last_request >= READ_RETRY_DELAY
+    ):
         return read_members(ownership, now)
-    if ownership.phase is Phase.CLAIMING and now - ownership.last_request >= READ_RETRY:
-        return check_claim(ownership, now)
+    if (
+        ownership.phase is Phase.CLAIMING
+        and now - ownership.last_request >= READ_RETRY_DELAY
+    ):
+        return read_back_claim(ownership, now)
     if ownership.phase is Phase.SERVING and not ownership.remembered:
         return tell_own_records(state, ownership, now)
     return []
@@ -88,12 +104,12 @@
 ) -> list[Effect]:
     """Apply the end of one of this module's reads."""
     if event.request.startswith(PROBE):
-        return probe_read(state, event)
+        return handle_probe_read(state, event)
     ownership = ownership_of_request(state, event.request)
     if ownership is None:
         return []
     if event.request.startswith(CHECK):
-        return claim_read(state, ownership, event, now)
+        return handle_claim_read(state, ownership, event, now)
     if event.rows is None or ownership.phase is not Phase.READING:
         return []
     members = [member_from_row(row) for row in event.rows]
--- a/tests/core/test_registration.py
+++ b/tests/core/test_registration.py
@@ -58,7 +58,7 @@
     process = Process(sidecar("w1"))
     process.tick()
     process.asked.clear()
-    process.tick(registration.TABLE_ANSWER_WITHIN + SECOND)
+    process.tick(registration.TABLE_ANSWER_TIMEOUT + SECOND)
     process.tick(10 * SECOND)
     process.settle()
     assert membership.is_registered(process.state)
@@ -77,7 +77,7 @@
     process = Process(sidecar("w1")).joined()
     process.event(membership.Leave())
     process.answer(down=True)
-    process.tick(registration.LEAVE_WITHIN + SECOND)
+    process.tick(registration.LEAVE_TIMEOUT + SECOND)
     assert membership.has_left(process.state)
 
 
