--- a/gypsumspoke/core/adoption.py
+++ b/gypsumspoke/core/adoption.py
@@ -1,10 +1,10 @@
-"""Taking a partition over with what its former owner left, and handing one on.
+"""Adopts jobs of a former owner, hands partitions over and sends lost records on.
 
-A resubmitted copy brings the bodies, the executors' records say what started, so the
-new home resumes the job: it follows what runs, takes results that executors kept, and
-starts only tasks of which it is certain that none started. A handoff is the same with
-the ledger added; afterwards the old home claims nothing more about the partition,
-since the next one answers from the ledger as it was handed over.
+A resubmission brings the task bodies and the executors' records show what started, so
+a new home can resume a job: it follows running tasks, uses results that executors kept
+and starts only tasks that certainly have not started. A handoff adds the ledger. After
+it the previous home no longer answers for the partition, since the next home answers
+from the ledger as it was handed over.
 """
 
 from datetime import datetime
@@ -52,10 +52,10 @@
 
 
 def begin_serving(state: HomeState, notice: PartitionServed) -> list[Parked]:
-    """Fill ledger and adopted jobs of a partition.
+    """Load the ledger and the adopted jobs of a partition.
 
     Returns:
-      The requests that waited for it, to be handled now.
+      The requests that waited for the partition, to be handled now.
     """
     partition = notice.partition
     adopted = dict(notice.adopted)
@@ -85,7 +85,7 @@
 
 
 def _finished_of_closed(closed: ClosedRecord) -> FinishedRecord:
-    """Return what can still be said of a job that another home ended."""
+    """Return the answer that is still known for a job that another home ended."""
     ran = closed.kind is ErrorKind.RESULT_LOST
     answer = Answer(closed.kind, Work.RAN if ran else Work.UNKNOWN)
     return FinishedRecord(
@@ -101,14 +101,14 @@
     waiter: Waiter,
     now: datetime,
 ) -> list[Effect]:
-    """Run on with a job that a former owner had accepted.
+    """Resume a job that a former owner had accepted.
 
     Args:
       state: changed in place.
-      ownership: the partition, served here.
-      adopted: what is known of the job; taken from the adopted ones.
-      submission: a copy with the same birth and digest.
-      waiter: who sent the copy.
+      ownership: the partition, which this home serves.
+      adopted: the adopted job, which is removed from ``state.adopted``.
+      submission: a resubmission with the same birth and digest.
+      waiter: sender of the resubmission.
       now: the current time.
     """
     partition = ownership.partition
@@ -165,7 +165,7 @@
 
 
 def expire(state: HomeState, now: datetime) -> None:
-    """Drop what is known of submissions older than the retention."""
+    """Drop the records of submissions older than the retention."""
     policy = state.policy
     bound = expiry_bound(now, policy.retention, policy.clock_skew)
     state.ledger.expire(bound)
@@ -176,13 +176,13 @@
 
 
 # ---------------------------------------------------------------------------
-# Giving away
+# Handing over
 
 
 def drop_partition(
     state: HomeState, notice: PartitionLost, now: datetime
 ) -> list[Effect]:
-    """Forget a partition that another home owns; its callers are sent on there."""
+    """Drop a partition that another home owns and answer its callers NOT_OWNER."""
     partition = notice.partition
     effects = _release(state, partition, now)
     answer = answer_of(ErrorKind.NOT_OWNER)
@@ -199,7 +199,7 @@
 
 
 def _release(state: HomeState, partition: int, now: datetime) -> list[Effect]:
-    """Let go of all jobs and decided refusals of a partition, claiming nothing."""
+    """Drop the jobs, refusals and records of a partition; answer NOT_OWNER."""
     effects: list[Effect] = []
     answer = answer_of(ErrorKind.NOT_OWNER)
     for job in list(state.jobs.get(partition, {}).values()):
@@ -219,7 +219,7 @@
 
 
 def hand_over(state: HomeState, notice: HandoffDue, now: datetime) -> list[Effect]:
-    """Give a partition's whole ledger to the next home and stop serving it."""
+    """Send a partition's complete ledger to the next home and stop serving it."""
     ownership = state.serving(notice.partition)
     if ownership is None:
         return []
@@ -232,7 +232,7 @@
 
 
 def forgotten_before(state: HomeState, ownership: Ownership) -> datetime:
-    """Return the birth before which a key may have run without a record here."""
+    """Return the birth before which keys may have run without a record here."""
     return max(ownership.forgotten_before, state.ledger.forgotten_before)
 
 
@@ -299,7 +299,7 @@
 def _finished_parts(
     records: tuple[FinishedRecord, ...],
 ) -> list[tuple[FinishedRecord, ...]]:
-    """Split records into parts that fit a frame; at least one part."""
+    """Split records into chunks that fit a frame; return at least one chunk."""
     return cut(records, _answer_bytes) or [()]
 
 
@@ -314,21 +314,21 @@
 
 
 # ---------------------------------------------------------------------------
-# Executors that were lost with their records
+# Records of lost executors
 
 
 def send_lost_records(state: HomeState, lost: str, now: datetime) -> list[Effect]:
-    """Give what a lost executor knew to another one, for all partitions owned here.
+    """Send the records of a lost executor to another one, for all owned partitions.
 
-    Each start is known here too. Without this, the death of this home would make
-    unknown all keys that had tasks at the lost executor; one copy more prevents it.
+    This home holds the same start records. If it failed too, all keys with tasks at the
+    lost executor would become unknown; the additional replica prevents that.
     """
     effects: list[Effect] = []
     for partition in list(state.takeover.owned):
         ownership = state.serving(partition)
         if ownership is None or ownership.floor.lossy_before is not None:
             continue
-        # Who went before it was heard may have started tasks unknown here.
+        # An uncovered executor may have started tasks that are unknown here.
         if lost not in ownership.uncovered:
             effects += _send_lost_records_of(state, ownership, lost, now)
     return effects
@@ -370,7 +370,7 @@
 
 
 def _records_held_by(state: HomeState, partition: int, lost: str) -> list[StartRecord]:
-    """Return the start records that only the lost executor held."""
+    """Return the start records of a partition that the lost executor held."""
     started = [
         record
         for job in state.adopted.get(partition, {}).values()
@@ -379,7 +379,7 @@
     ]
     for job in state.jobs.get(partition, {}).values():
         for slot in job.slots:
-            # The last try of a task that waits again was answered "not run".
+            # The last attempt of a task that waits again was answered "not run".
             has_run = slot.attempt is not None and slot.state is not SlotState.WAITING
             if slot.executor == lost and has_run:
                 started.append(_record_of_slot(job, slot))
@@ -401,12 +401,12 @@
 
 
 def handle_remember_ack(state: HomeState, message: RememberAck) -> None:
-    """Note that another executor holds a lost one's records."""
+    """Record that another executor holds the records of a lost one."""
     state.retellings.pop((message.partition, message.source), None)
 
 
 def resend_lost_records(state: HomeState, now: datetime) -> list[Effect]:
-    """Repeat what no executor acknowledged; drop what is no longer owned."""
+    """Resend unacknowledged records, except for partitions no longer owned."""
     effects: list[Effect] = []
     for place, retelling in list(state.retellings.items()):
         if now - retelling.sent < state.policy.takeover_after:
--- a/gypsumspoke/core/claims.py
+++ b/gypsumspoke/core/claims.py
@@ -1,7 +1,7 @@
-"""Claiming partitions in the platform's table.
+"""Claims partitions in the platform's table.
 
-A claim is a compare-and-set of the partition's row to the next epoch. Its answer may be
-lost, so it is read back; whoever loses the race drops it.
+A claim is a compare-and-set of the partition's row to the next epoch. If its answer is
+lost, the row is read back. A home that loses the race drops its claim.
 """
 
 from datetime import datetime
@@ -36,7 +36,7 @@
 
 
 def claim_unserved(state: TakeoverState, now: datetime) -> list[Effect]:
-    """Claim partitions that nobody serves and that prefer this home."""
+    """Claim unserved partitions for which this home is the preferred owner."""
     if not _may_claim(state, now):
         return []
     effects: list[Effect] = []
@@ -50,7 +50,10 @@
 
 
 def _may_claim(state: TakeoverState, now: datetime) -> bool:
-    """Wait after joining until peers had time to connect, so as not to claim theirs."""
+    """Return whether this home may claim.
+
+    After joining it waits for peers to connect, so as not to claim their partitions.
+    """
     if state.leaving or not state.map_known or state.joined is None:
         return False
     return now - state.joined >= state.policy.takeover_after
@@ -62,11 +65,11 @@
 
 
 def _is_abandoned(state: TakeoverState, row: PartitionRow, now: datetime) -> bool:
-    """Return whether an owner is gone or silent, seen from a majority.
+    """Return whether an owner has ended, or is silent while most others are reachable.
 
-    A process that was cut off from all others would otherwise claim every partition,
-    fail to fence, and leave all of them unserved. Seeing most of the others, it is
-    the owner that is cut off. Safety does not rest on this, only availability.
+    Without the majority a process cut off from all others would claim every partition,
+    fail to fence the executors and leave all partitions unserved. This affects only
+    availability; safety does not depend on it.
     """
     if row.owner == state.incarnation:
         return row.partition not in state.owned
@@ -84,11 +87,21 @@
     partition: int,
     row: PartitionRow | None,
     handed: HandedLedger | None,
-    giver: str,
+    handoff_sender: str,
     now: datetime,
 ) -> list[Effect]:
+    """Claim a partition under the next epoch.
+
+    Args:
+      state: changed in place.
+      partition: number of the partition.
+      row: the row to replace; None for a first claim.
+      handed: the ledger that the former owner handed over, if any.
+      handoff_sender: incarnation that waits for a HandoffAck; empty without a handoff.
+      now: the current time.
+    """
     epoch = row.epoch + 1 if row is not None else 1
-    ownership = Ownership(partition, epoch, row, handed, giver, now)
+    ownership = Ownership(partition, epoch, row, handed, handoff_sender, now)
     state.owned[partition] = ownership
     return [
         Count(Counter.TAKEOVER_STARTED),
@@ -109,7 +122,7 @@
 
 
 def read_back_claim(ownership: Ownership, now: datetime) -> list[Effect]:
-    """Read back a claim whose answer did not come: it may have taken effect."""
+    """Read back a claim without an answer: it may have taken effect."""
     ownership.last_request = now
     key = partition_key(ownership.partition)
     return [
@@ -121,7 +134,7 @@
 def handle_rows_written(
     state: TakeoverState, event: RowsWritten, now: datetime
 ) -> list[Effect]:
-    """Apply the end of a claim's write."""
+    """Apply the outcome of a claim's write."""
     ownership = ownership_of_request(state, event.request)
     if ownership is None or ownership.phase is not Phase.CLAIMING:
         return []
@@ -135,7 +148,7 @@
 def handle_claim_read(
     state: TakeoverState, ownership: Ownership, event: RowsRead, now: datetime
 ) -> list[Effect]:
-    """Apply a read back of the partition's row while the claim is in doubt."""
+    """Apply the row read back after a claim whose outcome is uncertain."""
     if event.rows is None or ownership.phase is not Phase.CLAIMING:
         return []
     key = partition_key(ownership.partition)
@@ -154,7 +167,7 @@
 
 
 def _is_superfluous(state: TakeoverState, ownership: Ownership, now: datetime) -> bool:
-    """Return whether the owner came back while the table was down."""
+    """Return whether the former owner came back before the claim was written."""
     former = ownership.replaced_row
     if former is None or ownership.handed is not None:
         return False
@@ -186,7 +199,7 @@
         answer = HandoffAck(ownership.partition, ownership.epoch - 1, True)
         effects.append(Send(ownership.handoff_sender, answer))
     if ownership.replaced_row is None:
-        # No home ever owned it, so nothing can have started or been refused.
+        # The partition never had an owner, so no key was started or refused.
         ownership.floor = Floor(ownership.epoch, 0, _before_any_birth(now), None)
         ownership.remembered = True
         return effects + serve(state, ownership, {}, (), now)
@@ -194,5 +207,5 @@
 
 
 def _before_any_birth(now: datetime) -> datetime:
-    """Return a time before every birth that is still accepted."""
+    """Return the earliest time, which precedes every birth."""
     return datetime.min.replace(tzinfo=now.tzinfo)
--- a/gypsumspoke/core/clock.py
+++ b/gypsumspoke/core/clock.py
@@ -1,8 +1,8 @@
-"""The clock as an interface, so that tests and the bench can supply virtual time.
+"""Clock interface, which lets tests and the bench supply virtual time.
 
 Reducers never read a clock: each event comes with ``now``. Only the shell holds a
-``Clock``. Times are aware UTC datetimes because births and deadlines travel between
-machines; durations are timedeltas.
+``Clock``. Times are aware UTC datetimes because machines exchange births and
+deadlines; durations are timedeltas.
 """
 
 import time
@@ -18,7 +18,7 @@
 
 
 class SystemClock:
-    """The machine's wall clock."""
+    """The wall clock of the machine."""
 
     def now(self) -> datetime:
         """Return the machine's wall-clock time in UTC."""
@@ -26,11 +26,11 @@
 
 
 class SteadyClock:
-    """A clock that never jumps, and counts the time that the machine was suspended.
+    """A monotonic clock that includes the time during which the machine is suspended.
 
-    Leases and silences are measured with it. With the wall clock, a step of the time of
-    day would end all leases at once or keep them for good; with the usual monotonic
-    clock, a process that was suspended would take old orders for fresh ones.
+    Leases and timeouts use it. With the wall clock, a step of the time of day would end
+    all leases at once or extend them indefinitely. With ``time.monotonic``, which stops
+    during suspension, outdated commands would seem recent.
     """
 
     def __init__(self) -> None:
@@ -38,23 +38,23 @@
         self._origin = datetime.now(timezone.utc)
 
     def now(self) -> datetime:
-        """Return the time since the start, added to the wall clock's time then."""
+        """Return the wall-clock time at creation plus the time elapsed since."""
         elapsed = time.clock_gettime(time.CLOCK_BOOTTIME) - self._start
         return self._origin + timedelta(seconds=elapsed)
 
 
 class ManualClock:
-    """A clock that moves only when told to.
+    """A clock that only ``advance`` moves.
 
     Args:
-      start: the first time it shows, aware UTC.
+      start: the initial time, aware UTC.
     """
 
     def __init__(self, start: datetime) -> None:
         self._now = start
 
     def now(self) -> datetime:
-        """Return the time last set."""
+        """Return the current time of this clock."""
         return self._now
 
     def advance(self, step: timedelta) -> datetime:
--- a/gypsumspoke/core/clock_check.py
+++ b/gypsumspoke/core/clock_check.py
@@ -1,17 +1,17 @@
-"""Tells whether this process's clock disagrees with most of its peers.
+"""Detects whether this process's clock disagrees with those of most peers.
 
-Births and retention are compared between machines, so a process whose clock is off
-would take keys for expired, or expired keys for fresh ones. A peer's answer to a
-heartbeat proves a disagreement only if the peer's time lies outside the interval
-from our question to its answer, widened by the allowed skew; a slow network or a
-pause widens the interval and can't accuse anybody.
+Births are compared with clocks of other machines, so a process with a wrong clock
+would treat valid keys as expired or expired keys as valid. An answered heartbeat shows
+a disagreement only if the peer's time lies outside the interval from sending the
+heartbeat to receiving the answer, widened by the allowed skew. Delays only widen the
+interval, so they cause no false alarms.
 """
 
 from datetime import datetime, timedelta
 
 
 class ClockCheck:
-    """The verdict of each peer on this process's clock."""
+    """The latest clock comparison with each peer."""
 
     def __init__(self) -> None:
         self._disagrees: dict[str, bool] = {}
@@ -28,10 +28,10 @@
 
         Args:
           peer: incarnation that answered.
-          asked: our time when the question was sent.
-          answered: our time when the answer came.
+          asked: local time when the heartbeat was sent.
+          answered: local time when the answer arrived.
           peer_time: the peer's time in its answer.
-          skew: most that two clocks may differ.
+          skew: maximum allowed difference of two clocks.
 
         Returns:
           True if the two clocks disagree.
@@ -41,14 +41,14 @@
         return disagrees
 
     def forget(self, peer: str) -> None:
-        """Drop the verdict of a peer that is not heard any more."""
+        """Drop the comparison with a peer that is no longer reachable."""
         self._disagrees.pop(peer, None)
 
     def is_off(self) -> bool:
-        """Return whether more than half of the group, us included, disagree with us.
+        """Return whether more than half of all processes contradict this clock.
 
-        With a single peer nobody can tell whose clock is wrong, so neither is off.
+        This process counts as one that agrees, so a single peer is never a majority.
         """
-        against = sum(self._disagrees.values())
+        disagreeing = sum(self._disagrees.values())
         group = len(self._disagrees) + 1
-        return 2 * against > group
+        return 2 * disagreeing > group
--- a/gypsumspoke/core/epochs.py
+++ b/gypsumspoke/core/epochs.py
@@ -1,7 +1,7 @@
-"""Epochs: an executor refuses homes that were replaced.
+"""Epochs: an executor refuses requests from homes that have been replaced.
 
-The highest epoch seen for a partition counts, wherever it came from: a fence, the
-partition map, a start, a closed job.
+The highest epoch seen for a partition counts, whether it came from a fence, the
+partition map, a start or a closed job.
 """
 
 from datetime import datetime
@@ -18,7 +18,7 @@
 def handle_fence(
     message: Fence, sender: str, state: ExecutorState, now: datetime
 ) -> list[Effect]:
-    """Refuse lower epochs from now on and send the records."""
+    """Refuse lower epochs from now on and send the records of the partition."""
     highest = state.epochs.get(message.partition, 0)
     if message.epoch < highest:
         refused = FenceRefused(message.partition, message.epoch, highest)
@@ -37,9 +37,9 @@
 def handle_close_job(
     message: CloseJob, sender: str, state: ExecutorState, now: datetime
 ) -> list[Effect]:
-    """Confirm an epoch and keep the jobs that ended under it."""
+    """Confirm an epoch and store the closed jobs."""
     if state.leaving:
-        # The records may have been told on already; this one would be missing there.
+        # The records may have been sent to another executor already, without this one.
         return []
     highest = state.epochs.get(message.partition, 0)
     if message.epoch < highest or not state.map_known:
@@ -58,7 +58,7 @@
 def handle_partitions_changed(
     event: PartitionsChanged, state: ExecutorState, now: datetime
 ) -> list[Effect]:
-    """Take over the epochs of the partition map."""
+    """Apply the epochs of the partition map."""
     state.map_known = True
     effects: list[Effect] = []
     for row in event.rows:
--- a/gypsumspoke/core/handoffs.py
+++ b/gypsumspoke/core/handoffs.py
@@ -1,8 +1,8 @@
-"""Handing a partition to the home that it prefers, with its whole ledger.
+"""Handoff of a partition, with its complete ledger, to the home preferred for it.
 
-The next home claims the row that the handoff names. Until it says that it did, the old
-home neither serves the partition nor claims anything about it; if it does not say so in
-time, the old home takes the partition back under a new epoch.
+The next home claims the row that the handoff names. Until it acknowledges, the previous
+home neither serves the partition nor answers for its keys. Without an acknowledgement
+in time the previous home takes the partition back under a new epoch.
 """
 
 from datetime import datetime
@@ -27,14 +27,18 @@
 
 
 def probe_for_handoffs(state: TakeoverState) -> list[Effect]:
-    """Hand over only while the table answers: the next home must write its claim."""
-    wanted = _handoffs_due(state)
-    if not wanted:
+    """Read the table if handoffs are due, to check that it answers.
+
+    The next home must write its claim to the table, so a handoff would fail otherwise.
+    """
+    due = _handoffs_due(state)
+    if not due:
         return []
-    return [ReadRows(f"{PROBE}:0:0", partition_key(wanted[0].partition))]
+    return [ReadRows(f"{PROBE}:0:0", partition_key(due[0].partition))]
 
 
 def handle_probe_read(state: TakeoverState, event: RowsRead) -> list[Effect]:
+    """Start the due handoffs if the table answered."""
     if event.rows is not None:
         state.notices += _handoffs_due(state)
     return []
@@ -44,22 +48,22 @@
     handing = sum(
         ownership.phase is Phase.HANDING_OVER for ownership in state.owned.values()
     )
-    wanted: list[HandoffDue] = []
+    due: list[HandoffDue] = []
     for partition, ownership in sorted(state.owned.items()):
-        if len(wanted) + handing >= MAX_CONCURRENT_HANDOFFS:
+        if len(due) + handing >= MAX_CONCURRENT_HANDOFFS:
             break
         target = preferred(state, partition)
         if ownership.phase is not Phase.SERVING or target is None:
             continue
         if target.incarnation != state.incarnation:
-            wanted.append(HandoffDue(partition, target.incarnation))
-    return wanted
+            due.append(HandoffDue(partition, target.incarnation))
+    return due
 
 
 def begin_handoff(
     state: TakeoverState, partition: int, handed: HandedLedger, now: datetime
 ) -> PartitionRow:
-    """Stop serving a partition; ``handed`` is kept in case the handoff fails.
+    """Stop serving a partition; keep ``handed`` in case the handoff fails.
 
     Returns:
       The row that the next home must replace.
@@ -72,10 +76,10 @@
 
 
 def reclaim(state: TakeoverState, partition: int, now: datetime) -> list[Effect]:
-    """Take a partition back whose handoff failed, under a new epoch.
+    """Take a partition back under a new epoch after its handoff failed.
 
-    The next home may still hold the ledger that was handed over; the new epoch makes
-    its claim fail, so that it can't serve from what is out of date by then.
+    The next home may still hold the ledger that was handed over. The new epoch makes
+    its claim fail, so that it can't serve from an outdated ledger.
     """
     handed = state.owned[partition].handed
     row = state.rows[partition]
@@ -85,18 +89,18 @@
 def handle_handoff(
     state: TakeoverState, message: Handoff, sender: str, now: datetime
 ) -> list[Effect]:
-    """Apply one chunk of a ledger; with the last one the partition is claimed."""
-    place = (sender, message.partition, message.epoch)
+    """Apply one chunk of a ledger; claim the partition once all have arrived."""
+    source = (sender, message.partition, message.epoch)
     if state.leaving or not state.map_known:
         refused = HandoffAck(message.partition, message.epoch, False)
         return [Send(sender, refused)]
     if message.partition in state.owned:
         return []
-    parts = state.incoming.setdefault(place, {})
+    parts = state.incoming.setdefault(source, {})
     parts[message.chunk] = message
     if len(parts) < message.chunks:
         return []
-    del state.incoming[place]
+    del state.incoming[source]
     known = state.rows.get(message.partition)
     if known is not None and known.epoch > message.epoch:
         return [Send(sender, HandoffAck(message.partition, message.epoch, False))]
@@ -121,7 +125,7 @@
 def handle_handoff_ack(
     state: TakeoverState, message: HandoffAck, now: datetime
 ) -> list[Effect]:
-    """End a handoff: the next home owns the partition, or it is taken back."""
+    """End a handoff; take the partition back if the next home refused it."""
     ownership = state.owned.get(message.partition)
     if ownership is None or ownership.phase is not Phase.HANDING_OVER:
         return []
--- a/gypsumspoke/core/heartbeats.py
+++ b/gypsumspoke/core/heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats: who is reachable, who knows more, and whether the clocks agree."""
+"""Heartbeats: reachability of peers, newer versions at peers and clock skew."""
 
 import logging
 from datetime import datetime, timedelta
@@ -22,7 +22,7 @@
 
 
 def new_heartbeat(state: MembershipState, now: datetime, answer: bool) -> Heartbeat:
-    """Return what this process tells its peers now."""
+    """Return a heartbeat with the current state of this process."""
     return Heartbeat(
         incarnation=state.member.incarnation,
         clock=now,
@@ -36,7 +36,7 @@
 
 
 def expedite_heartbeat(state: MembershipState, now: datetime) -> None:
-    """Bring the next heartbeat forward so that a change spreads without delay."""
+    """Send the next heartbeat early, so that a change spreads quickly."""
     earliest = now
     if state.last_heartbeat is not None:
         earliest = max(now, state.last_heartbeat + MIN_HEARTBEAT_INTERVAL)
@@ -61,10 +61,10 @@
 
 
 def _heartbeat_peers(state: MembershipState) -> list[str]:
-    """Return all peers while they are few; else ring successors and random ones.
+    """Return all peers if they are few, else some ring successors and random peers.
 
-    The successors make sure that each process is watched by somebody; the random ones
-    spread versions to everybody in a number of rounds that grows with the logarithm.
+    The successors ensure that every process is monitored. The random peers spread
+    versions to all processes in a logarithmic number of rounds.
     """
     own = state.member.incarnation
     peers = sorted(
@@ -81,7 +81,7 @@
 
 
 def record_reachable(state: MembershipState, peer: str) -> list[Effect]:
-    """Take a peer as reachable, unless its registration has ended."""
+    """Mark a peer as reachable, unless its registration has ended."""
     member = state.members.get(peer)
     has_ended = member is not None and member.ended is not None
     if has_ended or peer in state.reachable:
@@ -91,7 +91,7 @@
 
 
 def record_unreachable(state: MembershipState, peer: str) -> list[Effect]:
-    """Take a peer as unreachable and forget what it said."""
+    """Mark a peer as unreachable and discard its heartbeats and clock samples."""
     state.unanswered.pop(peer, None)
     state.heartbeats.pop(peer, None)
     state.clock_check.forget(peer)
@@ -106,7 +106,10 @@
 
 
 def expire_unanswered(state: MembershipState, now: datetime) -> list[Effect]:
-    """Take peers as lost that leave heartbeats unanswered over a live connection."""
+    """Mark peers as unreachable that left a heartbeat unanswered for too long.
+
+    This detects peers that hang although their connection is open.
+    """
     effects: list[Effect] = []
     for peer, asked in list(state.unanswered.items()):
         if now - asked > ANSWER_TIMEOUT:
@@ -115,10 +118,10 @@
 
 
 def reset_after_own_pause(state: MembershipState, now: datetime) -> None:
-    """After our own pause, judge nobody by questions asked before it.
+    """After a pause of this process, disregard heartbeats sent before it.
 
-    The answers wait unread in our buffers: all peers would look silent for a moment,
-    and their clocks behind ours.
+    Their answers are still unread in the receive buffers: all peers would seem silent
+    and their clocks behind.
     """
     paused = state.last_tick is not None and now - state.last_tick > MIN_OWN_PAUSE
     state.last_tick = now
@@ -127,7 +130,7 @@
 
 
 def drop_ended_peers(state: MembershipState) -> list[Effect]:
-    """Forget peers that ended, so that what is kept about peers stays bounded."""
+    """Discard the state of ended peers, which bounds memory use."""
     effects: list[Effect] = []
     for peer in sorted(state.reachable | set(state.unanswered)):
         member = state.members.get(peer)
@@ -139,7 +142,7 @@
 def check_clock(
     state: MembershipState, peer: str, peer_time: datetime, now: datetime
 ) -> list[Effect]:
-    """Compare clocks by an answered heartbeat; see ``clock_check``."""
+    """Compare clocks using an answered heartbeat; see ``clock_check``."""
     asked = state.unanswered.get(peer)
     if asked is None:
         return []
@@ -157,7 +160,7 @@
 def catch_up(
     state: MembershipState, peer: str, heartbeat: Heartbeat, now: datetime
 ) -> list[Effect]:
-    """Fetch what the peer has and we lack: rows from the table, a manifest from it."""
+    """Fetch newer rows from the table, and a newer manifest from the peer."""
     if state.phase is not Phase.REGISTERED:
         return []
     if heartbeat.members_version > state.members_version:
--- a/gypsumspoke/core/membership.py
+++ b/gypsumspoke/core/membership.py
@@ -1,13 +1,14 @@
-"""Who is there, who owns what, and which manifest is in force.
+"""Membership: the registered processes, the partition map and the manifest in force.
 
-Each process registers its incarnation in the platform's table, reads the members,
-the partition map and the manifest from there, and learns of changes from the versions
-on its peers' heartbeats. The table is needed to join and to change something; while
-it is down, peers, partitions and manifest stay as last read and heartbeats go on.
+Each process registers its incarnation in the platform's table and reads the members,
+the partition map and the manifest from it. The versions on its peers' heartbeats show
+when to read again. The table is needed to join and to make changes; while it is down,
+the last view stays in use and heartbeats go on.
 
-The order at the start is a safety rule: register first, read the partition map second.
-A new owner writes the map first and reads the registrations second, so one of the two
-always sees the other, and no executor serves a former owner unseen by the next.
+The order at the start matters for safety: a process registers before it reads the
+partition map, and a new owner writes the map before it reads the registrations. One of
+the two always sees the other, so the new owner misses no executor that might still
+serve a former owner.
 """
 
 from datetime import datetime
@@ -71,11 +72,14 @@
 
 
 class Leave(NamedTuple):
-    """Event: all work is done; end the registration. See ``has_left``."""
+    """Event: all work is done; end the registration.
+
+    ``has_left`` returns whether that is finished.
+    """
 
 
 class ViewOutdated(NamedTuple):
-    """Local event: members or map have changed, or seem to; read them again soon."""
+    """Local event: the members or the partition map may be outdated; read them soon."""
 
 
 def new_membership(
@@ -86,7 +90,7 @@
     Args:
       member: this process; ``registered`` is replaced by the time of registration.
       partition_count: number of partitions, the same in every process.
-      seed: for the choice of peers and the spread of retries.
+      seed: seed for the choice of peers and the jitter of retries.
       parse_manifest: turns a manifest's text into a checked manifest.
     """
     return MembershipState(member, partition_count, seed, parse_manifest)
@@ -107,7 +111,7 @@
 
 
 def is_registered(state: MembershipState) -> bool:
-    """Return whether this incarnation stands in the table and has not ended."""
+    """Return whether this incarnation is registered and has not been ended."""
     return state.phase is Phase.REGISTERED and not state.own_ended
 
 
@@ -132,7 +136,7 @@
 
 
 def members(state: MembershipState) -> tuple[Member, ...]:
-    """Return all known members, ended ones included, in the order of their names."""
+    """Return all known members, including ended ones, ordered by incarnation."""
     return state.all_members()
 
 
@@ -157,12 +161,12 @@
 
 
 def reachable(state: MembershipState) -> frozenset[str]:
-    """Return the incarnations that answer heartbeats now."""
+    """Return the incarnations that currently answer heartbeats."""
     return frozenset(state.reachable)
 
 
 def last_heartbeats(state: MembershipState) -> dict[str, ReceivedHeartbeat]:
-    """Return the last heartbeat of each peer that is heard, by incarnation."""
+    """Return the last heartbeat of each reachable peer, by incarnation."""
     return dict(state.heartbeats)
 
 
@@ -249,7 +253,7 @@
 def _on_partitions_changed(
     event: PartitionsChanged, state: MembershipState, now: datetime
 ) -> list[Effect]:
-    # A home tells of rows that it wrote itself; its heartbeats then carry the version.
+    # A home reports rows that it wrote itself; heartbeats then carry their version.
     if merge_partitions(state, event.rows):
         expedite_heartbeat(state, now)
     return []
--- a/gypsumspoke/core/membership_state.py
+++ b/gypsumspoke/core/membership_state.py
@@ -1,4 +1,4 @@
-"""What membership knows: the view, the table traffic and the peers of one process."""
+"""State of membership in one process: its view, table requests and peers."""
 
 import random
 from collections.abc import Callable
@@ -17,14 +17,14 @@
 
 
 class ReceivedHeartbeat(NamedTuple):
-    """The last heartbeat of a peer and our time when it came."""
+    """The last heartbeat of a peer and the local time of its arrival."""
 
     heartbeat: Heartbeat
     at: datetime
 
 
 class Phase(Enum):
-    """How far the registration is."""
+    """Stages of this process's registration."""
 
     NEW = "new"
     REGISTERING = "registering"
@@ -34,26 +34,30 @@
 
 
 class Pending(NamedTuple):
-    """A request to the table that is not answered."""
+    """A request to the table that has not been answered yet."""
 
     request: str
     sent: datetime
 
 
 class MembershipState:
-    """The view of one process; made by ``new_membership``.
+    """Membership state of one process; created by ``new_membership``.
 
-    Outside of membership it is only read, by the functions of ``membership.py``.
+    Other components read it only through the functions of ``membership.py``.
 
     Attributes:
-      due: when a prefix is to be read next; ``reads``: the reads under way.
-      failures: reads and writes that failed one after another.
-      map_readable: the members were read after the own registration, so that the
-        partition map may be read now.
-      members_version, partitions_version: highest version of a row seen, rows that
-        were deleted since included.
-      rejected_manifest: version of the newest manifest that could not be read.
-      unanswered: when a peer was first asked without an answer since.
+      due: time of the next read, by key prefix.
+      reads: reads in progress, by key prefix.
+      failures: number of consecutive failed reads and writes.
+      deletion: the deletion of an old member row in progress.
+      map_readable: whether the members were read after this process registered, so
+        that the partition map may be read.
+      map_read: whether the partition map has been read.
+      members_version, partitions_version: highest row version seen, including rows
+        that were deleted since.
+      own_ended: whether another process or an operator ended this incarnation.
+      rejected_manifest: version of the newest manifest that was invalid.
+      unanswered: time of the first heartbeat that a peer has not answered.
     """
 
     def __init__(
@@ -70,7 +74,7 @@
         self.phase = Phase.NEW
         self.draining = False
         self.load: Load | None = None
-        # Table traffic: one read for each prefix and one write at a time.
+        # Table requests: one read for each prefix and one write at a time.
         self.sequence = 0
         self.due: dict[str, datetime] = {}
         self.reads: dict[str, Pending] = {}
@@ -107,9 +111,9 @@
 
     @property
     def policy(self) -> Policy:
-        """The policy in force, or the default before the first manifest."""
+        """The policy in force, or the default policy before the first manifest."""
         return self.manifest.policy if self.manifest else DEFAULT_POLICY
 
     def all_members(self) -> tuple[Member, ...]:
-        """Return all known members, ended ones included, ordered by name."""
+        """Return all known members, including ended ones, ordered by incarnation."""
         return tuple(member for _, member in sorted(self.members.items()))
--- a/gypsumspoke/core/membership_view.py
+++ b/gypsumspoke/core/membership_view.py
@@ -1,7 +1,7 @@
-"""Takes in what the table says: members, partition map and manifest.
+"""Applies member, partition and manifest rows read from the table.
 
-Rows only ever replace older ones, by the table's version, since reads overlap and
-answers may arrive late or crossed.
+Partition rows and manifests only replace lower versions, because answers to
+overlapping reads may arrive out of order.
 """
 
 import logging
@@ -42,7 +42,7 @@
 def apply_member_rows(
     state: MembershipState, rows: tuple[Row, ...], now: datetime
 ) -> list[Effect]:
-    """Take the member rows, and go on with the own registration by them."""
+    """Apply the member rows and continue this process's registration."""
     changed, effects = _replace_members(state, rows)
     own = state.member.incarnation in state.members
     if state.phase is Phase.LEAVING:
@@ -93,11 +93,10 @@
 
 
 def _check_own_row(state: MembershipState, now: datetime) -> list[Effect]:
-    """Drain when an operator asks for it, or when others take this process for gone.
+    """Drain when an operator asks for it, or when this incarnation was ended.
 
-    Others no longer wait for an ended incarnation's fence acknowledgements, so work
-    that it took on would be unknown to the next home and could start twice. It takes
-    nothing new from here on.
+    New homes don't wait for fence acknowledgements of ended incarnations. A task that
+    this process started from now on would be unknown to them and could start twice.
     """
     own = state.members.get(state.member.incarnation)
     ended = own is None or own.ended is not None
@@ -119,7 +118,7 @@
 def apply_partition_rows(
     state: MembershipState, rows: tuple[Row, ...], now: datetime
 ) -> list[Effect]:
-    """Take the rows of the partition map and tell those that changed."""
+    """Apply the rows of the partition map and publish those that changed."""
     effects: list[Effect] = []
     found: list[PartitionRow] = []
     for row in rows:
@@ -136,7 +135,7 @@
     if changed:
         expedite_heartbeat(state, now)
     if changed or is_first:
-        # Executors refuse all starts until the map was read, be it empty.
+        # Executors refuse all starts until the map has been read, even an empty one.
         effects.append(Local(PartitionsChanged(changed)))
     return effects
 
@@ -144,7 +143,7 @@
 def merge_partitions(
     state: MembershipState, rows: tuple[PartitionRow, ...]
 ) -> tuple[PartitionRow, ...]:
-    """Keep the newer row of each partition and return those that changed."""
+    """Keep the newer row of each partition and return the rows that changed."""
     changed = []
     for row in rows:
         if not 0 <= row.partition < state.partition_count:
@@ -160,7 +159,7 @@
 def apply_manifest_rows(
     state: MembershipState, rows: tuple[Row, ...], now: datetime
 ) -> list[Effect]:
-    """Take the manifest's row, if there is one yet."""
+    """Apply the manifest's row, if there is one."""
     schedule_periodic_read(state, MANIFEST_KEY, now)
     for row in rows:
         if row.key == MANIFEST_KEY and row.value is not None:
@@ -171,10 +170,9 @@
 def apply_manifest(
     state: MembershipState, version: int, text: str, now: datetime
 ) -> list[Effect]:
-    """Put a manifest in force if it is newer.
+    """Put a manifest in force if its version is higher than the current one.
 
-    A late read or a peer that lags would otherwise bring an older version back, and
-    the configuration in force would fall; only a higher version is ever taken.
+    Otherwise a delayed read or an outdated peer could revert the configuration.
     """
     if version <= max(state.manifest_version, state.rejected_manifest):
         return []
--- a/gypsumspoke/core/ownership.py
+++ b/gypsumspoke/core/ownership.py
@@ -1,7 +1,6 @@
-"""The partitions that a home owns, and what it sees of the others.
+"""Ownership of one partition and the notices that its changes send to the home.
 
-Claims, fences and handoffs change this state, each in a module of its own; ``takeover``
-is what the home calls. What the home must act on is left here as notices.
+The modules ``claims``, ``fences`` and ``handoffs`` change the state of an ownership.
 """
 
 from datetime import datetime
@@ -23,7 +22,7 @@
 
 
 class Phase(Enum):
-    """How far an ownership is."""
+    """Stages of an ownership."""
 
     CLAIMING = "claiming"
     READING = "reading"
@@ -33,7 +32,13 @@
 
 
 class HandedLedger(NamedTuple):
-    """The ledger of a partition as its former owner handed it over, in full."""
+    """The complete ledger of a partition that its former owner handed over.
+
+    Attributes:
+      born_before, lossy_before: the former owner's floor, see ``ledger.Floor``.
+      forgotten_before: keys born before this may have been dropped from the ledger.
+      refused, finished: records; jobs still running are among ``finished``.
+    """
 
     born_before: datetime
     lossy_before: datetime | None
@@ -43,22 +48,22 @@
 
     @property
     def running(self) -> list[FinishedRecord]:
-        """Jobs that had no final answer yet."""
+        """Records of jobs without a final answer."""
         return [record for record in self.finished if is_running(record)]
 
 
 def is_running(record: FinishedRecord) -> bool:
-    """Return whether a handed record stands for a job without a final answer."""
+    """Return whether a record stands for a job without a final answer."""
     return record.answer.kind is ErrorKind.JOB_RUNNING
 
 
 class AdoptedJob(NamedTuple):
-    """A job that a former owner accepted and that no copy has reached here yet.
+    """A job that a former owner accepted and that was not resubmitted here yet.
 
     Attributes:
       birth, submission_attempt, digest: as in the records.
       started: (record, incarnation of the executor that holds it) by task.
-      complete: False when records may be missing, so that nothing more may start.
+      complete: whether no start record can be missing; if False, no task may start.
     """
 
     birth: datetime
@@ -69,21 +74,32 @@
 
 
 class Ownership:
-    """One partition that this home owns or is about to own.
+    """A partition that this home owns or is about to own.
 
     Args:
-      partition: its number.
-      epoch: the epoch of the claim.
+      partition: number of the partition.
+      epoch: epoch of the claim.
       replaced_row: the row that the claim replaces; None for a first claim.
-      handed: the former owner's ledger, if it handed it over.
-      handoff_sender: incarnation that waits for a HandoffAck; empty if none.
+      handed: the former owner's ledger if it was handed over, else None.
+      handoff_sender: incarnation that waits for a HandoffAck; empty without a handoff.
       now: the current time.
 
-    ``parts`` holds the answers to fences that are under way, ``heard`` all that came in
-    full, ``acknowledged`` who sent one. ``went`` names executors that ended, or fell
-    silent, before they answered; ``awaited`` those that are asked once more since then.
-    ``unheard`` names incarnations whose records were lost before they were heard.
-    Keys born before ``forgotten_before`` may have run without leaving a record.
+    Attributes:
+      phase: stage of the ownership.
+      started: when the claim began.
+      last_request: when the last message or table request of this phase was sent.
+      floor: which unknown keys may run, see ``ledger.Floor``.
+      required: executors whose fence acknowledgement is needed.
+      partial_acks: chunks of incomplete fence acknowledgements, by executor.
+      acks: complete fence acknowledgements, by executor.
+      acknowledged: executors that sent a complete acknowledgement.
+      departed: executors that ended or fell silent before they acknowledged.
+      awaiting_second_ack: executors that were fenced again since one departed.
+      second_fence_sent: when they were fenced again.
+      uncovered: ended incarnations whose records may be lost.
+      forgotten_before: keys born before this may have run without leaving a record.
+      records_target: executor that was sent the local executor's records.
+      remembered: whether that executor acknowledged them.
     """
 
     def __init__(
@@ -118,7 +134,7 @@
 
 
 class PartitionServed(NamedTuple):
-    """Notice: a partition is served from now on."""
+    """Notice: this home serves a partition from now on."""
 
     partition: int
     adopted: dict[JobKey, AdoptedJob]
@@ -127,13 +143,13 @@
 
 
 class PartitionLost(NamedTuple):
-    """Notice: another home owns the partition, or the claim failed."""
+    """Notice: another home owns a partition, or a claim failed."""
 
     partition: int
 
 
 class HandoffDue(NamedTuple):
-    """Notice: hand the partition to this incarnation."""
+    """Notice: a partition is to be handed over to the incarnation ``target``."""
 
     partition: int
     target: str
--- a/gypsumspoke/core/partitions.py
+++ b/gypsumspoke/core/partitions.py
@@ -1,9 +1,9 @@
-"""Which partition a key belongs to and which home a partition prefers.
+"""Assignment of keys to partitions and of partitions to preferred homes.
 
-Both are hashes that every process computes alike, so no message is needed to agree
-on them. Preference is rendezvous hashing (Thaler and Ravishankar, 1998) over worker
-names: when a worker goes, only its own partitions move, and when it comes back under
-the same name they return to it.
+Both are hashes that every process computes alike, so they need no coordination.
+Preferred homes are chosen by rendezvous hashing (Thaler and Ravishankar, 1998) over
+worker names: when a worker leaves, only its partitions move, and they return when it
+comes back under the same name.
 """
 
 import hashlib
@@ -15,7 +15,7 @@
 
 
 def _hash(*parts: str) -> int:
-    """Return a 64-bit hash; parts are separated so that they can't run together."""
+    """Return a 64-bit hash; a length prefix separates the parts."""
     digest = hashlib.blake2b(digest_size=_HASH_BYTES)
     for part in parts:
         encoded = part.encode()
@@ -28,7 +28,7 @@
     """Return the partition of a submission.
 
     Args:
-      key: identity of the submission.
+      key: key of the submission.
       partition_count: number of partitions, the same in every process.
 
     Returns:
--- a/gypsumspoke/core/pause_check.py
+++ b/gypsumspoke/core/pause_check.py
@@ -1,11 +1,10 @@
-"""Whether a process that was paused still counts.
+"""Checks after a pause of this process that its registration was not ended.
 
-While it was paused the platform may have replaced it. The replacement's registration
-tells new homes that nothing starts here any more; if a former home woke up with it, the
-two would start tasks that others started long ago. So after a pause nothing starts
-until a fresh read of the own row says that it was not ended. That is enough: a process
-is not replaced while it runs, and a shorter pause than ``OWN_PAUSE`` is too short for a
-replacement to start and register.
+The platform may replace a process while it is paused. New homes then no longer fence
+it, so if a former home resumed together with it, the two could start tasks that have
+already started elsewhere. After a pause nothing starts until a fresh read of this
+process's own row shows that it was not ended. Pauses shorter than ``MIN_PAUSE`` need no
+check: a replacement can't start and register within that time.
 """
 
 from datetime import datetime, timedelta
@@ -20,10 +19,10 @@
 
 
 class PauseCheck:
-    """The check of one process.
+    """Detects pauses of this process and verifies its registration after them.
 
     Args:
-      incarnation: own incarnation.
+      incarnation: incarnation of this process.
     """
 
     def __init__(self, incarnation: str) -> None:
@@ -35,11 +34,14 @@
 
     @property
     def is_unverified(self) -> bool:
-        """Whether nothing may start now."""
+        """Whether the registration is unverified since a pause: nothing may start."""
         return self._is_unverified
 
     def record_event(self, now: datetime) -> list[Effect]:
-        """Notice a pause: several ticks a second come to a process that runs."""
+        """Start a check if the last event was at least ``MIN_PAUSE`` ago.
+
+        Ticks come several times a second, so a longer gap means a pause.
+        """
         last = self._last_event
         self._last_event = now
         if last is None or now - last < MIN_PAUSE:
@@ -48,13 +50,13 @@
         return self._read(now)
 
     def tick(self, now: datetime) -> list[Effect]:
-        """Read again while the table has not answered."""
+        """Repeat the read until the table answers."""
         if not self._is_unverified or now - self._asked < READ_RETRY_DELAY:
             return []
         return self._read(now)
 
     def handle_rows_read(self, event: RowsRead) -> None:
-        """Apply the end of a read, if it is of the last one asked for."""
+        """Apply the result of the latest read; ignore those of earlier reads."""
         if event.request != f"{_REQUEST}:{self._number}":
             return
         for row in event.rows or ():
@@ -62,7 +64,7 @@
                 self._is_unverified = False
 
     def _read(self, now: datetime) -> list[Effect]:
-        # The number tells the answer apart from one asked for before another pause.
+        # The number distinguishes the answer from those to reads before this pause.
         self._number += 1
         self._asked = now
         return [ReadRows(f"{_REQUEST}:{self._number}", self._row_key)]
--- a/gypsumspoke/core/registration.py
+++ b/gypsumspoke/core/registration.py
@@ -1,7 +1,7 @@
-"""The registration of one process: written at its start, ended when it leaves.
+"""Registration of one process: written at its start, ended when it leaves.
 
-A write whose answer was lost is never guessed about: the members are read back, and
-the own row tells whether it took effect.
+After a write whose answer was lost the members are read back: this process's own row
+shows whether the write took effect.
 """
 
 import logging
@@ -27,7 +27,7 @@
 
 
 def expire_table_requests(state: MembershipState, now: datetime) -> list[Effect]:
-    """Give up on table requests that nobody answers any more."""
+    """Treat table requests without an answer for ``TABLE_ANSWER_TIMEOUT`` as failed."""
     limit = now - TABLE_ANSWER_TIMEOUT
     for prefix, pending in list(state.reads.items()):
         if pending.sent < limit:
@@ -42,7 +42,7 @@
 
 
 def write_registration(state: MembershipState, now: datetime) -> list[Effect]:
-    """Register, and end every earlier incarnation of this worker, at once."""
+    """Register and end all earlier incarnations of this worker in one transaction."""
     state.phase = Phase.REGISTERING
     state.member = state.member._replace(registered=now)
     own_key = member_key(state.member.incarnation)
@@ -58,7 +58,7 @@
 
 
 def begin_leaving(state: MembershipState, now: datetime) -> list[Effect]:
-    """End the own registration, if there is one, within ``LEAVE_WITHIN``."""
+    """End this process's registration, if any, within ``LEAVE_TIMEOUT``."""
     if state.phase in (Phase.LEAVING, Phase.LEFT):
         return []
     if state.phase is Phase.NEW or state.own_ended:
@@ -87,7 +87,7 @@
 
 
 def handle_write_committed(state: MembershipState, now: datetime) -> list[Effect]:
-    """Go on after the registration, or its end, was written."""
+    """Continue after the registration, or its end, was written."""
     if state.phase is Phase.LEAVING:
         state.phase = Phase.LEFT
         return []
@@ -97,10 +97,10 @@
 def handle_write_failed(
     state: MembershipState, outcome: WriteOutcome, now: datetime
 ) -> list[Effect]:
-    """Read back: a lost answer may hide a write that took effect.
+    """Schedule a read of the members after a conflict or a lost answer.
 
-    The next read of the members shows the own row if it did, and the versions to
-    check if it did not.
+    A write whose answer was lost may have taken effect. The read shows whether it did,
+    and if not, the row versions for another attempt.
     """
     if state.phase is Phase.REGISTERING:
         state.phase = Phase.NEW
@@ -122,7 +122,7 @@
 
 
 def leave_on_timeout(state: MembershipState, now: datetime) -> list[Effect]:
-    """Leave unregistered when the table is down, so that it can't hold the stop up."""
+    """Leave without ending the registration when the table doesn't answer in time."""
     if state.phase is not Phase.LEAVING or now < state.leave_deadline:
         return []
     state.phase = Phase.LEFT
@@ -130,10 +130,10 @@
 
 
 def delete_ended_row(state: MembershipState, now: datetime) -> list[Effect]:
-    """Delete one row that ended so long ago that nothing refers to it any more.
+    """Delete one member row that ended too long ago for any record to refer to it.
 
-    Each process tries with a chance of one in the number of processes, so that about
-    one of them does it in each interval, whatever their number.
+    Each process does so with probability 1/n for n live processes, so that on average
+    one row is deleted per interval.
     """
     if state.phase is not Phase.REGISTERED or state.deletion:
         return []
@@ -142,8 +142,8 @@
     if now < state.next_deletion:
         return []
     state.next_deletion = now + DELETION_INTERVAL
-    # The longest retention that a manifest may set, not the one in force: a longer one
-    # set later would make rows matter again that a shorter one let go.
+    # MAX_RETENTION rather than the retention in force: a later manifest may lengthen
+    # the retention, and older rows would be needed again.
     limit = now - MAX_RETENTION - DELETION_MARGIN_SKEWS * state.policy.clock_skew
     old = [
         state.member_rows[incarnation]
@@ -162,13 +162,13 @@
 
 
 def confirm_registration(state: MembershipState, now: datetime) -> list[Effect]:
-    """The answer to the registration was lost but the write took effect."""
+    """Continue as registered: the write's answer was lost, but it took effect."""
     state.phase = Phase.REGISTERED
     return [Log(logging.INFO, "registration found by reading back")]
 
 
 def continue_leaving(state: MembershipState, now: datetime) -> list[Effect]:
-    """Write the end again, with the version just read, unless it stands there."""
+    """Write the end again with the version just read, unless the row has ended."""
     own = state.members.get(state.member.incarnation)
     if own is None or own.ended:
         state.phase = Phase.LEFT
--- a/gypsumspoke/core/rows.py
+++ b/gypsumspoke/core/rows.py
@@ -1,8 +1,7 @@
-"""Members and partitions as rows of the platform's table.
+"""Encodes members and partitions as rows of the platform's table.
 
-The table holds text, so each row is a JSON object with named units. One row for each
-incarnation and one for each partition: a compare-and-set then conflicts only with a
-change of the same thing.
+Each row is a JSON object in text form. Each incarnation and each partition has a row
+of its own, so a compare-and-set conflicts only with changes to the same one.
 """
 
 import json
@@ -30,7 +29,7 @@
 
 
 def member_from_row(row: Row) -> Member:
-    """Return the member of a present row.
+    """Return the member that a row describes.
 
     Raises:
       ValueError: the text is not a member's row.
@@ -47,7 +46,7 @@
 
 
 def partition_key(partition: int) -> str:
-    """Return the key of a partition's row; zero-padded so that keys sort."""
+    """Return the key of a partition's row, zero-padded so that keys sort by number."""
     return f"{PARTITIONS_PREFIX}{partition:05d}"
 
 
@@ -58,7 +57,7 @@
 
 
 def partition_from_row(row: Row) -> PartitionRow:
-    """Return the partition of a present row.
+    """Return the partition that a row describes.
 
     Raises:
       ValueError: the text is not a partition's row.
--- a/gypsumspoke/core/takeover.py
+++ b/gypsumspoke/core/takeover.py
@@ -1,12 +1,12 @@
-"""Who owns which partition: what the home calls as time passes and news comes.
+"""Takeover of partitions: the home's entry points for ticks, members and table reads.
 
 A home claims a partition by compare-and-set in the platform's table (``claims``) and
-then fences every registered executor except the former owner's (``fences``); a
-partition that prefers another home is handed over (``handoffs``).
+then fences every registered executor except the former owner's (``fences``). It hands a
+partition over to another home that is preferred for it (``handoffs``).
 
-The order in the store closes the last gap: the claim is written first and the members
-are read second, while a joining executor registers first and reads the map second, so
-one of the two always sees the other (docs/DESIGN.md, "Takeover").
+The home writes the claim before it reads the members, and a joining executor registers
+before it reads the partition map, so one of the two always sees the other
+(docs/DESIGN.md, "Takeover").
 """
 
 from collections.abc import Iterable
@@ -49,7 +49,7 @@
 
 
 def tick(state: TakeoverState, now: datetime) -> list[Effect]:
-    """Claim, fence again, retry and hand over as time passes."""
+    """Repeat unanswered requests and start due claims and handoffs."""
     effects: list[Effect] = []
     for ownership in list(state.owned.values()):
         effects += _advance(state, ownership, now)
@@ -86,7 +86,7 @@
 def set_members(
     state: TakeoverState, members: Iterable[Member], now: datetime
 ) -> list[Effect]:
-    """Apply a new membership view; an ended executor need not acknowledge."""
+    """Apply a new view of the members; ended executors need not acknowledge fences."""
     state.members = {member.incarnation: member for member in members}
     state.preferred.clear()
     update_unreachable(state, now)
@@ -102,7 +102,7 @@
 def handle_rows_read(
     state: TakeoverState, event: RowsRead, now: datetime
 ) -> list[Effect]:
-    """Apply the end of one of this module's reads."""
+    """Apply the result of a table read of this module, ``claims`` or ``handoffs``."""
     if event.request.startswith(PROBE):
         return handle_probe_read(state, event)
     ownership = ownership_of_request(state, event.request)
--- a/gypsumspoke/core/takeover_state.py
+++ b/gypsumspoke/core/takeover_state.py
@@ -1,7 +1,7 @@
-"""What a home sees of members and rows while it owns and takes over partitions.
+"""State of partition ownership in one home, with its view of members and rows.
 
-Claims, fences and handoffs, each in a module of its own, read and change this state;
-``takeover`` is what the home calls. What the home must act on is left as notices.
+The modules ``takeover``, ``claims``, ``fences`` and ``handoffs`` read and change this
+state and append notices to it, on which the home acts.
 """
 
 import logging
@@ -19,11 +19,21 @@
 
 
 class TakeoverState:
-    """All that a home knows about owning partitions.
+    """State of partition ownership in one home.
 
     Args:
       member: this process.
       partition_count: number of partitions.
+
+    Attributes:
+      owned: ownerships by partition, including claims in progress.
+      rows: newest known row of the partition map, by partition.
+      map_known: whether the partition map has been read.
+      joined: when the partition map was first read.
+      unreachable_since: since when a sidecar or an owner is unreachable.
+      preferred: cache of the preferred owner, by partition.
+      incoming: received chunks of handoffs by (sender, partition, epoch), then number.
+      notices: what the home must act on.
     """
 
     def __init__(self, member: Member, partition_count: int) -> None:
@@ -46,7 +56,7 @@
 
     @property
     def sidecars(self) -> list[Member]:
-        """Registered sidecars that have not ended, this one included."""
+        """Registered sidecars that have not ended, including this one."""
         return [
             member
             for member in self.members.values()
@@ -54,16 +64,16 @@
         ]
 
     def member(self, incarnation: str) -> Member | None:
-        """Return a known member, ended ones included, or None."""
+        """Return a known member, which may have ended, or None."""
         return self.members.get(incarnation)
 
     def has_ended(self, incarnation: str) -> bool:
-        """Return whether a process is provably gone with its memory."""
+        """Return whether a process has ended for certain; its memory is lost."""
         member = self.members.get(incarnation)
         return member is not None and member.ended is not None
 
     def available_peers(self) -> list[str]:
-        """Return other sidecars that answer and don't leave, in order."""
+        """Return the other sidecars that are reachable and not leaving, sorted."""
         return sorted(
             member.incarnation
             for member in self.sidecars
@@ -74,7 +84,7 @@
 
 
 def pop_notices(state: TakeoverState) -> list[Notice]:
-    """Return what the home has to act on, and forget it."""
+    """Return and clear the notices on which the home must act."""
     notices, state.notices = state.notices, []
     return notices
 
@@ -85,7 +95,7 @@
 
 
 def set_leaving(state: TakeoverState) -> None:
-    """Stop claiming, and hand over all that is owned."""
+    """Stop claiming partitions and begin to hand over those owned."""
     state.leaving = True
     state.preferred.clear()
 
@@ -93,13 +103,14 @@
 def set_reachable(
     state: TakeoverState, reachable: frozenset[str], now: datetime
 ) -> None:
-    """Apply which incarnations answer now."""
+    """Apply the set of incarnations that are currently reachable."""
     state.reachable = reachable
     state.preferred.clear()
     update_unreachable(state, now)
 
 
 def update_unreachable(state: TakeoverState, now: datetime) -> None:
+    """Update since when sidecars, and owners that are not members, are unreachable."""
     names = {member.incarnation for member in state.sidecars}
     names |= {row.owner for row in state.rows.values()} - set(state.members)
     silent = names - state.reachable - {state.incarnation}
@@ -109,14 +120,14 @@
 
 
 def record_leaving(state: TakeoverState, incarnation: str, leaving: bool) -> None:
-    """Apply what a heartbeat says: a leaving peer owns nothing new."""
+    """Record from a heartbeat that a peer leaves and takes no more partitions."""
     if leaving and incarnation not in state.leaving_peers:
         state.leaving_peers.add(incarnation)
         state.preferred.clear()
 
 
 def set_rows(state: TakeoverState, rows: Iterable[PartitionRow], now: datetime) -> None:
-    """Apply rows of the partition map; a higher epoch elsewhere ends an ownership."""
+    """Apply rows of the partition map; a higher epoch ends an ownership."""
     if not state.map_known:
         state.map_known = True
         state.joined = now
@@ -132,16 +143,19 @@
 
 
 def drop_ownership(state: TakeoverState, ownership: Ownership) -> None:
+    """End an ownership and notify the home."""
     state.owned.pop(ownership.partition, None)
     state.notices.append(PartitionLost(ownership.partition))
 
 
 def is_silent(state: TakeoverState, incarnation: str, now: datetime) -> bool:
+    """Return whether a process has been unreachable for ``takeover_after``."""
     silent = state.unreachable_since.get(incarnation)
     return silent is not None and now - silent >= state.policy.takeover_after
 
 
 def preferred(state: TakeoverState, partition: int) -> Member | None:
+    """Return the preferred owner among the sidecars that can take the partition."""
     if partition not in state.preferred:
         candidates = [
             member for member in state.sidecars if _is_candidate(state, member)
@@ -160,11 +174,12 @@
 
 
 def request_id(kind: str, ownership: Ownership) -> str:
+    """Return the id of a table request about an ownership."""
     return f"{kind}:{ownership.partition}:{ownership.epoch}"
 
 
 def ownership_of_request(state: TakeoverState, request: str) -> Ownership | None:
-    """Return the ownership that a table request was about, if it still stands."""
+    """Return the ownership that a table request was about, or None if it ended."""
     partition, epoch = request.rsplit(":", 2)[1:]
     ownership = state.owned.get(int(partition))
     if ownership is None or ownership.epoch != int(epoch):
@@ -173,5 +188,6 @@
 
 
 def ownership_log(event: str, ownership: Ownership, **more: str | int) -> Log:
+    """Return a log line about an ownership with additional fields."""
     fields = (("partition", ownership.partition), ("epoch", ownership.epoch))
     return Log(logging.INFO, event, fields=(*fields, *more.items()))
