--- a/gypsumspoke/core/admission.py
+++ b/gypsumspoke/core/admission.py
@@ -9,7 +9,7 @@
 from gypsumspoke.core import quota
 from gypsumspoke.core.entry_state import EntryState
 from gypsumspoke.core.errors import ErrorKind
-from gypsumspoke.core.refusals import refusal_of
+from gypsumspoke.core.refusals import refusal_answer
 from gypsumspoke.core.values import Answer, Submission
 
 WAITING_LIMIT = 2_000
@@ -26,19 +26,19 @@
     team = submission.key.team
     wait = quota.admit(state.quota, team, len(submission.tasks), now)
     if wait is not None:
-        return refusal_of(ErrorKind.QUOTA_EXCEEDED, retry_after=wait)
+        return refusal_answer(ErrorKind.QUOTA_EXCEEDED, retry_after=wait)
     return None
 
 
 def entry_refusal(state: EntryState) -> Answer | None:
     """Return why this entry takes nothing at all now."""
     if state.draining:
-        return refusal_of(ErrorKind.ENTRY_DRAINING)
+        return refusal_answer(ErrorKind.ENTRY_DRAINING)
     if state.manifest is None:
-        return refusal_of(ErrorKind.ENTRY_NOT_READY)
+        return refusal_answer(ErrorKind.ENTRY_NOT_READY)
     is_full = len(state.waiting) >= WAITING_LIMIT
     if is_full or state.waiting_bytes >= WAITING_BYTES_LIMIT:
-        return refusal_of(ErrorKind.ENTRY_OVERLOADED)
+        return refusal_answer(ErrorKind.ENTRY_OVERLOADED)
     return None
 
 
@@ -53,15 +53,15 @@
     """
     policy = state.policy
     if state.clock_off:
-        return refusal_of(ErrorKind.CLOCK_OFF)
+        return refusal_answer(ErrorKind.CLOCK_OFF)
     if submission.key.team not in state.teams:
-        return refusal_of(ErrorKind.UNKNOWN_TEAM, submission.key.team)
+        return refusal_answer(ErrorKind.UNKNOWN_TEAM, submission.key.team)
     if submission.service not in state.services:
-        return refusal_of(ErrorKind.UNKNOWN_SERVICE, submission.service)
+        return refusal_answer(ErrorKind.UNKNOWN_SERVICE, submission.service)
     if submission.deadline <= now:
-        return refusal_of(ErrorKind.DEADLINE_IN_PAST)
+        return refusal_answer(ErrorKind.DEADLINE_IN_PAST)
     if submission.birth > now + policy.clock_skew:
-        return refusal_of(ErrorKind.BIRTH_IN_FUTURE)
+        return refusal_answer(ErrorKind.BIRTH_IN_FUTURE)
     if submission.birth < now - policy.retention:
-        return refusal_of(ErrorKind.KEY_EXPIRED)
+        return refusal_answer(ErrorKind.KEY_EXPIRED)
     return None
--- a/gypsumspoke/core/adoption.py
+++ b/gypsumspoke/core/adoption.py
@@ -9,8 +9,8 @@
 
 from datetime import datetime
 
-from gypsumspoke.core.chunks import cut
-from gypsumspoke.core.counted import Counter
+from gypsumspoke.core.chunks import split_into_chunks
+from gypsumspoke.core.counters import Counter
 from gypsumspoke.core.dispatch import adopt_running, enqueue, release
 from gypsumspoke.core.effects import Count, Effect, Send
 from gypsumspoke.core.endings import begin_ending, complete
@@ -271,7 +271,7 @@
     handed: HandedLedger, row: PartitionRow, ownership: Ownership
 ) -> list[Handoff]:
     parts = _finished_parts(handed.finished)
-    refused = cut(handed.refused, _no_bytes)
+    refused = split_into_chunks(handed.refused, _no_bytes)
     count = len(parts) + len(refused)
     pairs: list[tuple[tuple[RefusedRecord, ...], tuple[FinishedRecord, ...]]] = [
         ((), part) for part in parts
@@ -298,7 +298,7 @@
     records: tuple[FinishedRecord, ...],
 ) -> list[tuple[FinishedRecord, ...]]:
     """Split records into parts that fit a frame; at least one part."""
-    return cut(records, _answer_bytes) or [()]
+    return split_into_chunks(records, _answer_bytes) or [()]
 
 
 def _no_bytes(record: RefusedRecord) -> int:
--- a/gypsumspoke/core/chunks.py
+++ b/gypsumspoke/core/chunks.py
@@ -7,13 +7,13 @@
 from collections.abc import Callable, Iterable
 from typing import TypeVar
 
-CHUNK_RECORDS = 500
-CHUNK_BYTES = 1_000_000
+MAX_CHUNK_RECORDS = 500
+MAX_CHUNK_BYTES = 1_000_000
 
 _Record = TypeVar("_Record")
 
 
-def cut(
+def split_into_chunks(
     records: Iterable[_Record], bytes_of: Callable[[_Record], int]
 ) -> list[tuple[_Record, ...]]:
     """Return the records in order, in parts bounded in number and in bytes.
@@ -31,7 +31,7 @@
     total = 0
     for record in records:
         size = bytes_of(record)
-        is_full = len(part) == CHUNK_RECORDS or total + size > CHUNK_BYTES
+        is_full = len(part) == MAX_CHUNK_RECORDS or total + size > MAX_CHUNK_BYTES
         if part and is_full:
             parts.append(tuple(part))
             part, total = [], 0
--- a/gypsumspoke/core/claims.py
+++ b/gypsumspoke/core/claims.py
@@ -6,7 +6,7 @@
 
 from datetime import datetime
 
-from gypsumspoke.core.counted import Counter, RetryReason
+from gypsumspoke.core.counters import Counter, RetryReason
 from gypsumspoke.core.effects import Count, Effect, Local, ReadRows, Send, WriteRows
 from gypsumspoke.core.events import (
     PartitionsChanged,
@@ -14,7 +14,7 @@
     RowsWritten,
     WriteOutcome,
 )
-from gypsumspoke.core.fences import read_members, serve
+from gypsumspoke.core.fences import read_members, start_serving
 from gypsumspoke.core.ledger import Floor
 from gypsumspoke.core.messages import HandoffAck
 from gypsumspoke.core.ownership import HandedLedger, Ownership, Phase
@@ -187,7 +187,7 @@
         # No home ever owned it, so nothing can have started or been refused.
         ownership.floor = Floor(ownership.epoch, 0, _never(now), None)
         ownership.remembered = True
-        return effects + serve(state, ownership, {}, (), now)
+        return effects + start_serving(state, ownership, {}, (), now)
     return effects + read_members(ownership, now)
 
 
--- a/gypsumspoke/core/copies.py
+++ b/gypsumspoke/core/copies.py
@@ -7,13 +7,13 @@
 import logging
 from datetime import datetime, timedelta
 
-from gypsumspoke.core.counted import RetryReason
+from gypsumspoke.core.counters import RetryReason
 from gypsumspoke.core.effects import Count, Deliver, Effect, Local, Log, Observe, Send
-from gypsumspoke.core.entry_state import EntryState, Waiting
+from gypsumspoke.core.entry_state import EntryState, PendingRequest
 from gypsumspoke.core.errors import ErrorKind, Work
 from gypsumspoke.core.membership import ViewDoubted
 from gypsumspoke.core.messages import SubmitJob
-from gypsumspoke.core.refusals import refusal_of
+from gypsumspoke.core.refusals import refusal_answer
 from gypsumspoke.core.values import Answer
 
 SEND_AGAIN_AFTER = timedelta(milliseconds=200)
@@ -39,7 +39,7 @@
     return row.owner
 
 
-def pass_on(state: EntryState, waiting: Waiting, now: datetime) -> list[Effect]:
+def pass_on(state: EntryState, waiting: PendingRequest, now: datetime) -> list[Effect]:
     """Send the copy to the current owner, or hold it until there is one.
 
     A copy is sent only over a connection that is known to be up. So a copy that was
@@ -48,25 +48,25 @@
     waiting.home = _owner(state, waiting.message.partition)
     if not waiting.home:
         waiting.without_home_since = waiting.without_home_since or now
-        waiting.send_again_at = None
+        waiting.resend_at = None
         return []
     effects: list[Effect] = []
-    if waiting.ever_sent and waiting.reason is not None:
+    if waiting.was_sent and waiting.reason is not None:
         effects.append(Count(waiting.reason))
     waiting.reason = None
-    waiting.ever_sent = True
+    waiting.was_sent = True
     waiting.without_home_since = None
-    waiting.send_again_at = None
+    waiting.resend_at = None
     effects.append(Send(waiting.home, waiting.message))
     return effects
 
 
 def lose_home(
-    state: EntryState, waiting: Waiting, reason: RetryReason, now: datetime
+    state: EntryState, waiting: PendingRequest, reason: RetryReason, now: datetime
 ) -> list[Effect]:
     """The home can't answer any more; go on with whoever owns the partition now."""
     waiting.reason = reason
-    waiting.turned_away_since = None
+    waiting.not_served_since = None
     return pass_on(state, waiting, now)
 
 
@@ -80,7 +80,7 @@
 
 
 def take_answer(
-    state: EntryState, waiting: Waiting, answer: Answer, now: datetime
+    state: EntryState, waiting: PendingRequest, answer: Answer, now: datetime
 ) -> list[Effect]:
     """Hand an answer of the home to the caller, or try again if it claims nothing."""
     if answer.kind in _NOT_SERVED:
@@ -89,16 +89,16 @@
 
 
 def _turned_away(
-    state: EntryState, waiting: Waiting, answer: Answer, now: datetime
+    state: EntryState, waiting: PendingRequest, answer: Answer, now: datetime
 ) -> list[Effect]:
     """Try again soon: the home is not the owner, or not yet."""
     waiting.last_refusal = answer
-    waiting.turned_away_since = waiting.turned_away_since or now
-    if now - waiting.turned_away_since >= TURNED_AWAY_PATIENCE:
+    waiting.not_served_since = waiting.not_served_since or now
+    if now - waiting.not_served_since >= TURNED_AWAY_PATIENCE:
         return give_up(state, waiting.message.request, now, "the partition moves")
     waiting.reason = _NOT_SERVED[answer.kind]
     spread = 0.5 + state.random.random()
-    waiting.send_again_at = now + SEND_AGAIN_AFTER * spread
+    waiting.resend_at = now + SEND_AGAIN_AFTER * spread
     if answer.kind is ErrorKind.NOT_OWNER:
         return [Local(ViewDoubted())]
     return []
@@ -135,17 +135,17 @@
     return [log, *_deliver(state, request, answer, now)]
 
 
-def _given_up_answer(waiting: Waiting, detail: str) -> Answer:
-    if not waiting.ever_sent:
-        return refusal_of(ErrorKind.HOME_UNREACHABLE, detail)
+def _given_up_answer(waiting: PendingRequest, detail: str) -> Answer:
+    if not waiting.was_sent:
+        return refusal_answer(ErrorKind.HOME_UNREACHABLE, detail)
     last = waiting.last_refusal
     if last is not None and last.kind is ErrorKind.TAKEOVER_IN_PROGRESS:
         return last._replace(work=Work.UNKNOWN)
-    return refusal_of(ErrorKind.HOME_SILENT, detail)
+    return refusal_answer(ErrorKind.HOME_SILENT, detail)
 
 
 def look_after(
-    state: EntryState, request: str, waiting: Waiting, now: datetime
+    state: EntryState, request: str, waiting: PendingRequest, now: datetime
 ) -> list[Effect]:
     """Send a copy again when that is due; end its wait when patience or time ends."""
     grace = DEADLINE_GRACE if waiting.home else timedelta(0)
@@ -155,6 +155,6 @@
     patience = state.policy.takeover_after + TAKEOVER_TAKES
     if without_home is not None and now - without_home >= patience:
         return give_up(state, request, now, "no home could be reached")
-    if waiting.send_again_at is not None and now >= waiting.send_again_at:
+    if waiting.resend_at is not None and now >= waiting.resend_at:
         return pass_on(state, waiting, now)
     return []
--- a/gypsumspoke/core/dispatch.py
+++ b/gypsumspoke/core/dispatch.py
@@ -9,7 +9,7 @@
 import heapq
 from datetime import datetime, timedelta
 
-from gypsumspoke.core.counted import Counter, RetryReason
+from gypsumspoke.core.counters import Counter, RetryReason
 from gypsumspoke.core.effects import Count, Effect, Send
 from gypsumspoke.core.endings import begin_ending, complete, note_ending_progress
 from gypsumspoke.core.errors import ErrorKind
--- a/gypsumspoke/core/effects.py
+++ b/gypsumspoke/core/effects.py
@@ -3,7 +3,7 @@
 from datetime import datetime
 from typing import NamedTuple
 
-from gypsumspoke.core.counted import Counter, RetryReason
+from gypsumspoke.core.counters import Counter, RetryReason
 from gypsumspoke.core.errors import ErrorKind
 from gypsumspoke.core.events import LocalEvent
 from gypsumspoke.core.messages import Message
--- a/gypsumspoke/core/ejection.py
+++ b/gypsumspoke/core/ejection.py
@@ -7,7 +7,7 @@
 
 import heapq
 
-from gypsumspoke.core.counted import RetryReason
+from gypsumspoke.core.counters import RetryReason
 from gypsumspoke.core.placement_state import (
     FIRST_PROBE,
     SMOOTHING,
--- a/gypsumspoke/core/endings.py
+++ b/gypsumspoke/core/endings.py
@@ -11,7 +11,7 @@
 import logging
 from datetime import datetime, timedelta
 
-from gypsumspoke.core.counted import Counter
+from gypsumspoke.core.counters import Counter
 from gypsumspoke.core.effects import Count, Effect, Log, Observe, Send
 from gypsumspoke.core.errors import ANSWER_RULES, ErrorKind, Work
 from gypsumspoke.core.home_state import (
--- a/gypsumspoke/core/entry.py
+++ b/gypsumspoke/core/entry.py
@@ -23,9 +23,9 @@
     pass_on_held,
     take_answer,
 )
-from gypsumspoke.core.counted import Counter, RetryReason
+from gypsumspoke.core.counters import Counter, RetryReason
 from gypsumspoke.core.effects import Count, Deliver, Effect, Send
-from gypsumspoke.core.entry_state import EntryState, Waiting
+from gypsumspoke.core.entry_state import EntryState, PendingRequest
 from gypsumspoke.core.errors import ErrorKind
 from gypsumspoke.core.events import (
     Drain,
@@ -46,10 +46,10 @@
     TeamUsage,
 )
 from gypsumspoke.core.partitions import partition_of
-from gypsumspoke.core.refusals import refusal_of
+from gypsumspoke.core.refusals import refusal_answer
 from gypsumspoke.core.values import Answer, JobKey, Member, Role, Submission
 
-QUERY_PATIENCE = timedelta(seconds=5)
+QUERY_TIMEOUT = timedelta(seconds=5)
 
 
 class CallerArrived(NamedTuple):
@@ -156,7 +156,7 @@
     submission = event.submission
     partition = partition_of(submission.key, state.partition_count)
     message = SubmitJob(event.request, partition, submission, event.wait)
-    waiting = Waiting(message, submission.key, now, submission.deadline)
+    waiting = PendingRequest(message, submission.key, now, submission.deadline)
     return _accept(state, event.request, waiting, now)
 
 
@@ -164,14 +164,14 @@
 def _on_query(event: QueryArrived, state: EntryState, now: datetime) -> list[Effect]:
     partition = partition_of(event.key, state.partition_count)
     message = QueryJob(event.request, partition, event.key)
-    return _ask(state, message, now)
+    return _forward_request(state, message, now)
 
 
 @_on.register
 def _on_cancel(event: CancelArrived, state: EntryState, now: datetime) -> list[Effect]:
     partition = partition_of(event.key, state.partition_count)
     message = CancelJob(event.request, partition, event.key)
-    return _ask(state, message, now)
+    return _forward_request(state, message, now)
 
 
 @_on.register
@@ -186,20 +186,20 @@
     return []
 
 
-def _ask(
+def _forward_request(
     state: EntryState, message: QueryJob | CancelJob, now: datetime
 ) -> list[Effect]:
     refusal = entry_refusal(state)
     if refusal is None and message.key.team not in state.teams:
-        refusal = refusal_of(ErrorKind.UNKNOWN_TEAM)
+        refusal = refusal_answer(ErrorKind.UNKNOWN_TEAM)
     if refusal is not None:
         return _refuse(message.request, refusal)
-    waiting = Waiting(message, message.key, now, now + QUERY_PATIENCE)
+    waiting = PendingRequest(message, message.key, now, now + QUERY_TIMEOUT)
     return _accept(state, message.request, waiting, now)
 
 
 def _accept(
-    state: EntryState, request: str, waiting: Waiting, now: datetime
+    state: EntryState, request: str, waiting: PendingRequest, now: datetime
 ) -> list[Effect]:
     state.waiting[request] = waiting
     state.waiting_bytes += waiting.size
--- a/gypsumspoke/core/entry_role.py
+++ b/gypsumspoke/core/entry_role.py
@@ -15,7 +15,7 @@
 
 # The balancer looks at the readiness every second or so and sends callers until then;
 # the port stays open and answers them for as long.
-DRAIN_NOTICE = timedelta(seconds=1)
+MIN_DRAIN_DURATION = timedelta(seconds=1)
 
 
 class EntryRoleState:
@@ -77,9 +77,9 @@
     Returns:
       What the process has to do; local events have been delivered already.
     """
-    effects = _to_both(state, event, now)
+    effects = _reduce_both(state, event, now)
     if isinstance(event, Drain) or entry.is_draining(state.requests):
-        effects += _go_on_stopping(state, now)
+        effects += _continue_drain(state, now)
     return effects
 
 
@@ -94,7 +94,7 @@
     return entry.is_draining(state.requests)
 
 
-def _to_both(state: EntryRoleState, event, now: datetime) -> list[Effect]:
+def _reduce_both(state: EntryRoleState, event, now: datetime) -> list[Effect]:
     effects: list[Effect] = []
     events = deque([event])
     while events:
@@ -110,7 +110,7 @@
     return effects
 
 
-def _go_on_stopping(state: EntryRoleState, now: datetime) -> list[Effect]:
+def _continue_drain(state: EntryRoleState, now: datetime) -> list[Effect]:
     if state._exited:
         return []
     if state._drain_started is None:
@@ -119,7 +119,7 @@
     passed = now - state._drain_started
     if passed >= state._drain_timeout:
         effects += entry.give_up_all(state.requests, now)
-    is_done = entry.waiting_count(state.requests) == 0 and passed >= DRAIN_NOTICE
+    is_done = entry.waiting_count(state.requests) == 0 and passed >= MIN_DRAIN_DURATION
     if is_done and not state._leaving:
         state._leaving = True
         effects += membership.reduce(state.members, membership.Leave(), now)
--- a/gypsumspoke/core/entry_state.py
+++ b/gypsumspoke/core/entry_state.py
@@ -4,13 +4,13 @@
 from datetime import datetime
 
 from gypsumspoke.core import quota
-from gypsumspoke.core.counted import RetryReason
+from gypsumspoke.core.counters import RetryReason
 from gypsumspoke.core.messages import CancelJob, QueryJob, SubmitJob
 from gypsumspoke.core.policy import DEFAULT_POLICY, Manifest, Policy
 from gypsumspoke.core.values import Answer, JobKey, Member, PartitionRow
 
 
-class Waiting:
+class PendingRequest:
     """One copy on its way.
 
     Args:
@@ -40,10 +40,10 @@
         self.arrived = arrived
         self.deadline = deadline
         self.home = ""
-        self.ever_sent = False
+        self.was_sent = False
         self.without_home_since: datetime | None = arrived
-        self.turned_away_since: datetime | None = None
-        self.send_again_at: datetime | None = None
+        self.not_served_since: datetime | None = None
+        self.resend_at: datetime | None = None
         self.reason: RetryReason | None = None
         self.last_refusal: Answer | None = None
         self.caller_left = False
@@ -66,7 +66,7 @@
         self.member = member
         self.partition_count = partition_count
         self.random = random.Random(seed)
-        self.waiting: dict[str, Waiting] = {}
+        self.waiting: dict[str, PendingRequest] = {}
         self.waiting_bytes = 0
         self.partitions: dict[int, PartitionRow] = {}
         self.entries: frozenset[str] = frozenset()
--- a/gypsumspoke/core/epochs.py
+++ b/gypsumspoke/core/epochs.py
@@ -6,13 +6,13 @@
 
 from datetime import datetime
 
-from gypsumspoke.core.counted import Counter, RetryReason
+from gypsumspoke.core.counters import Counter, RetryReason
 from gypsumspoke.core.effects import Count, Effect, Send
 from gypsumspoke.core.events import PartitionsChanged
 from gypsumspoke.core.executor_state import ExecutorState
 from gypsumspoke.core.messages import CloseAck, CloseJob, Fence, FenceRefused
 from gypsumspoke.core.start_records import fence_acks
-from gypsumspoke.core.task_starts import drop_waiting, raise_epoch
+from gypsumspoke.core.task_starts import raise_epoch, refuse_waiting
 
 
 def fence(
@@ -50,7 +50,7 @@
     for record in message.closed:
         state.records.close(message.partition, record)
     stale = [waiting for waiting in state.waiting if waiting.start.attempt.key in keys]
-    effects += drop_waiting(state, stale, RetryReason.JOB_CLOSED)
+    effects += refuse_waiting(state, stale, RetryReason.JOB_CLOSED)
     ack = CloseAck(message.partition, message.epoch, message.confirmation)
     return effects + [Send(sender, ack)]
 
--- a/gypsumspoke/core/executor.py
+++ b/gypsumspoke/core/executor.py
@@ -10,8 +10,8 @@
 from datetime import datetime
 from functools import singledispatch
 
-from gypsumspoke.core import epochs, task_starts, told_records
-from gypsumspoke.core.counted import RetryReason
+from gypsumspoke.core import epochs, record_replication, task_starts
+from gypsumspoke.core.counters import RetryReason
 from gypsumspoke.core.effects import Effect
 from gypsumspoke.core.events import (
     Drain,
@@ -97,7 +97,7 @@
 def _(
     message: AskAttempt, sender: str, state: ExecutorState, now: datetime
 ) -> list[Effect]:
-    return task_starts.ask_attempt(message, sender, state, now)
+    return task_starts.report_attempt(message, sender, state, now)
 
 
 @_on_message.register
@@ -109,7 +109,7 @@
 
 @_on.register
 def _(event: UpstreamAnswered, state: ExecutorState, now: datetime) -> list[Effect]:
-    return task_starts.upstream_answered(event, state, now)
+    return task_starts.handle_upstream_answer(event, state, now)
 
 
 @_on.register
@@ -139,14 +139,14 @@
 def _(
     message: Remember, sender: str, state: ExecutorState, now: datetime
 ) -> list[Effect]:
-    return told_records.remember(message, sender, state, now)
+    return record_replication.handle_remember(message, sender, state, now)
 
 
 @_on_message.register
 def _(
     message: RememberAck, sender: str, state: ExecutorState, now: datetime
 ) -> list[Effect]:
-    return told_records.remember_acknowledged(message, sender, state, now)
+    return record_replication.handle_remember_ack(message, sender, state, now)
 
 
 @_on.register
@@ -155,12 +155,12 @@
     state.records.expire(expiry_bound(now, policy.retention, policy.clock_skew))
     state.refused.expire(now - 2 * policy.clock_skew)
     overdue = [waiting for waiting in state.waiting if now >= waiting.start.deadline]
-    effects = task_starts.drop_waiting(state, overdue, RetryReason.DEADLINE_PASSED)
+    effects = task_starts.refuse_waiting(state, overdue, RetryReason.DEADLINE_PASSED)
     effects += state.self_check.tick(now)
     return (
         effects
         + task_starts.start_waiting(state, now)
-        + told_records.tell_records(state, now)
+        + record_replication.replicate_records(state, now)
     )
 
 
@@ -176,7 +176,7 @@
 
 @_on.register
 def _(event: MembersChanged, state: ExecutorState, now: datetime) -> list[Effect]:
-    state.records.keep_covers(member.incarnation for member in event.members)
+    state.records.retain_covers(member.incarnation for member in event.members)
     state.sidecars = frozenset(
         member.incarnation
         for member in event.members
@@ -194,7 +194,7 @@
 @_on.register
 def _(event: Drain, state: ExecutorState, now: datetime) -> list[Effect]:
     state.leaving = True
-    return task_starts.give_waiting_back(state)
+    return task_starts.refuse_all_waiting(state)
 
 
 @_on.register
@@ -206,5 +206,5 @@
     state.slots = event.slots
     state.upstream_leaving = event.leaving
     if event.leaving:
-        return task_starts.give_waiting_back(state)
+        return task_starts.refuse_all_waiting(state)
     return task_starts.start_waiting(state, now)
--- a/gypsumspoke/core/executor_state.py
+++ b/gypsumspoke/core/executor_state.py
@@ -1,7 +1,7 @@
 """The state of one executor, shared by the modules that decide for it.
 
 ``executor`` takes events in, ``task_starts`` starts and refuses tasks, ``epochs`` keeps
-replaced homes out, ``told_records`` passes records on. They are one reducer.
+replaced homes out, ``record_replication`` copies records. They are one reducer.
 """
 
 from collections import deque
@@ -10,7 +10,7 @@
 
 from gypsumspoke.core.messages import Remember, StartTask
 from gypsumspoke.core.policy import DEFAULT_POLICY, Policy
-from gypsumspoke.core.refused_marks import RefusedMarks
+from gypsumspoke.core.refused_attempts import RefusedAttempts
 from gypsumspoke.core.self_check import SelfCheck
 from gypsumspoke.core.start_records import StartRecords
 from gypsumspoke.core.values import AttemptId, Load
@@ -18,7 +18,7 @@
 DEFAULT_QUEUE_LIMIT = 8
 
 
-class Waiting(NamedTuple):
+class WaitingTask(NamedTuple):
     """A task that waits for a slot."""
 
     start: StartTask
@@ -26,7 +26,7 @@
     since: datetime
 
 
-class Running(NamedTuple):
+class RunningTask(NamedTuple):
     """A task at the upstream; its outcome goes to ``home``."""
 
     partition: int
@@ -52,18 +52,18 @@
         self.records = StartRecords(incarnation, DEFAULT_POLICY.kept_bytes)
         self.epochs: dict[int, int] = {}
         self.map_known = False
-        self.refused = RefusedMarks()
-        self.waiting: deque[Waiting] = deque()
-        self.running: dict[AttemptId, Running] = {}
+        self.refused = RefusedAttempts()
+        self.waiting: deque[WaitingTask] = deque()
+        self.running: dict[AttemptId, RunningTask] = {}
         self.mean_run: timedelta | None = None
         self.leaving = False
         self.upstream_leaving = False
         self.reachable: frozenset[str] = frozenset()
         self.sidecars: frozenset[str] = frozenset()
         self.parts: dict[tuple[int, str], dict[int, Remember]] = {}
-        self.unremembered: set[int] | None = None
-        self.remember_sent: datetime | None = None
-        self.remember_round = 0
+        self.unreplicated: set[int] | None = None
+        self.replication_sent: datetime | None = None
+        self.replication_round = 0
         self.self_check = SelfCheck(incarnation)
 
     @property
@@ -74,7 +74,7 @@
     @property
     def departed(self) -> bool:
         """Whether it is leaving, idle, and another executor has its records."""
-        return self.leaving and self.idle and self.unremembered == set()
+        return self.leaving and self.idle and self.unreplicated == set()
 
 
 def load(state: ExecutorState) -> Load:
--- a/gypsumspoke/core/fences.py
+++ b/gypsumspoke/core/fences.py
@@ -15,14 +15,14 @@
 from collections.abc import Iterable
 from datetime import datetime, timedelta
 
-from gypsumspoke.core.counted import Counter
+from gypsumspoke.core.counters import Counter
 from gypsumspoke.core.effects import Count, Effect, Observe, ReadRows, Send
 from gypsumspoke.core.ledger import Floor, floor_birth
 from gypsumspoke.core.messages import Fence, FenceAck, FenceRefused, RememberAck
 from gypsumspoke.core.ownership import AdoptedJob, Ownership, Phase, Serving
 from gypsumspoke.core.partitions import partition_of
 from gypsumspoke.core.rows import MEMBERS_PREFIX
-from gypsumspoke.core.start_records import expiry_bound, knows_more, remember_messages
+from gypsumspoke.core.start_records import expiry_bound, remember_messages, supersedes
 from gypsumspoke.core.takeover_view import (
     REQUEST_PREFIX,
     TakeoverState,
@@ -41,20 +41,20 @@
     StartRecord,
 )
 
-FENCE_RESEND = timedelta(milliseconds=500)
+FENCE_RESEND_DELAY = timedelta(milliseconds=500)
 # The first answers stand; what a second one could add is not worth a longer wait.
-ASKED_AGAIN_LIMIT = timedelta(seconds=1)
-MEMBERS = REQUEST_PREFIX + "members"
+SECOND_FENCE_TIMEOUT = timedelta(seconds=1)
+MEMBERS_REQUEST = REQUEST_PREFIX + "members"
 
 
 def read_members(ownership: Ownership, now: datetime) -> list[Effect]:
     """Read the registrations after the claim is written, never before."""
     ownership.phase = Phase.READING
     ownership.asked = now
-    return [ReadRows(request_of(MEMBERS, ownership), MEMBERS_PREFIX)]
+    return [ReadRows(request_of(MEMBERS_REQUEST, ownership), MEMBERS_PREFIX)]
 
 
-def fence_all(
+def start_fencing(
     state: TakeoverState,
     ownership: Ownership,
     members: list[Member],
@@ -91,29 +91,29 @@
     return effects
 
 
-def pursue_fences(
+def continue_fencing(
     state: TakeoverState, ownership: Ownership, now: datetime
 ) -> list[Effect]:
     former = ownership.former
     if former is not None and is_silent(state, former.owner, now):
         # A giver that died after its handoff is left out like any former owner.
-        leave_out(ownership, {former.owner})
+        stop_waiting_for(ownership, {former.owner})
     finished = finish_if_fenced(state, ownership, now)
     if finished:
         return finished
-    if now - ownership.asked >= FENCE_RESEND:
+    if now - ownership.asked >= FENCE_RESEND_DELAY:
         return _send_fences(state, ownership, now)
     return []
 
 
-def leave_out(ownership: Ownership, names: Iterable[str]) -> None:
+def stop_waiting_for(ownership: Ownership, names: Iterable[str]) -> None:
     """Wait no longer for executors that have ended or are not needed."""
     left_out = ownership.required.intersection(names)
     ownership.required -= left_out
     ownership.went |= left_out - (ownership.acknowledged - ownership.awaited)
 
 
-def fence_acknowledged(
+def handle_fence_ack(
     state: TakeoverState, message: FenceAck, now: datetime
 ) -> list[Effect]:
     """Apply one chunk of an executor's records."""
@@ -125,7 +125,7 @@
     name = message.incarnation
     parts = ownership.parts.setdefault(name, [])
     parts.append(message)
-    answer = whole_answer(parts, message)
+    answer = complete_ack(parts, message)
     if answer:
         del ownership.parts[name]
         ownership.heard.setdefault(name, []).extend(answer)
@@ -134,7 +134,7 @@
     return finish_if_fenced(state, ownership, now)
 
 
-def whole_answer(parts: list[FenceAck], last: FenceAck) -> list[FenceAck]:
+def complete_ack(parts: list[FenceAck], last: FenceAck) -> list[FenceAck]:
     """Return the chunks of the answer that ``last`` belongs to, if all have come.
 
     Two answers of which only the second speaks for another executor must not mix: the
@@ -146,13 +146,13 @@
     return answer if is_whole else []
 
 
-def peer_lost(state: TakeoverState, incarnation: str) -> None:
+def handle_peer_lost(state: TakeoverState, incarnation: str) -> None:
     """Forget the parts of an answer whose rest was lost with the connection."""
     for ownership in state.owned.values():
         ownership.parts.pop(incarnation, None)
 
 
-def fence_refused(state: TakeoverState, message: FenceRefused) -> list[Effect]:
+def handle_fence_refused(state: TakeoverState, message: FenceRefused) -> list[Effect]:
     """Give up a partition that a higher epoch owns."""
     ownership = state.owned.get(message.partition)
     if ownership is None or message.highest <= ownership.epoch:
@@ -161,7 +161,7 @@
     return [log_of("partition lost to a higher epoch", ownership)]
 
 
-def epoch_refused(state: TakeoverState, attempt: AttemptId) -> None:
+def handle_stale_epoch(state: TakeoverState, attempt: AttemptId) -> None:
     """Give up the partition of a start that was refused for its epoch."""
     partition = partition_of(attempt.key, state.partition_count)
     ownership = state.owned.get(partition)
@@ -174,22 +174,22 @@
 ) -> list[Effect]:
     if ownership.required - ownership.acknowledged:
         return []
-    is_late = now - ownership.asked_again >= ASKED_AGAIN_LIMIT
+    is_late = now - ownership.asked_again >= SECOND_FENCE_TIMEOUT
     if ownership.required & ownership.awaited and not is_late:
         return []
     parts = [part for heard in ownership.heard.values() for part in heard]
-    ownership.unheard = frozenset(_uncovered(state, ownership, parts, now))
+    ownership.unheard = frozenset(_find_uncovered(state, ownership, parts, now))
     if ownership.unheard and ownership.went:
-        return _ask_again(state, ownership, now)
+        return _fence_again(state, ownership, now)
     lossy = bool(ownership.unheard)
     ownership.floor = _floor(state, ownership, lossy, now)
     ownership.forgotten_before = _forgotten_before(ownership, parts)
     adopted = _adopt(state, ownership, parts, complete=not lossy)
     closed = tuple(record for part in parts for record in part.closed)
-    return serve(state, ownership, adopted, closed, now)
+    return start_serving(state, ownership, adopted, closed, now)
 
 
-def _ask_again(
+def _fence_again(
     state: TakeoverState, ownership: Ownership, now: datetime
 ) -> list[Effect]:
     """Ask all executors once more what they were told by those that went."""
@@ -224,7 +224,7 @@
     return Floor(ownership.epoch, 0, born_before, lossy_before)
 
 
-def _uncovered(
+def _find_uncovered(
     state: TakeoverState,
     ownership: Ownership,
     parts: list[FenceAck],
@@ -245,12 +245,12 @@
         # It may hold starts that an earlier owner placed there.
         suspects.add(former.owner)
     covered = {name for part in parts for name in part.covers}
-    if former is not None and cover_as_owner(former.owner, former.epoch) in covered:
+    if former is not None and owner_cover(former.owner, former.epoch) in covered:
         suspects.discard(former.owner)
     return suspects - covered - ownership.acknowledged
 
 
-def cover_as_owner(incarnation: str, epoch: int) -> str:
+def owner_cover(incarnation: str, epoch: int) -> str:
     """Return the cover for an executor whose process owns the partition.
 
     While it owns the partition it starts none of its tasks, so what it told on taking
@@ -289,11 +289,11 @@
         attempt = max(attempt, job.submission_attempt)
     adopted[key] = AdoptedJob(record.birth, attempt, record.digest, started, complete)
     known = started.get(record.attempt.task)
-    if known is None or knows_more(record, known[0]):
+    if known is None or supersedes(record, known[0]):
         started[record.attempt.task] = (record, holder)
 
 
-def serve(
+def start_serving(
     state: TakeoverState,
     ownership: Ownership,
     adopted: dict[JobKey, AdoptedJob],
@@ -321,11 +321,11 @@
         ),
     ]
     if not ownership.remembered:
-        effects += tell_own_records(state, ownership, now)
+        effects += replicate_own_records(state, ownership, now)
     return effects
 
 
-def tell_own_records(
+def replicate_own_records(
     state: TakeoverState, ownership: Ownership, now: datetime
 ) -> list[Effect]:
     """Give the own executor's records of the partition to another executor.
@@ -333,7 +333,7 @@
     They are starts that former owners placed here. If this process died now, home and
     record would go together, and the next owner could not know of those starts.
     """
-    if ownership.remember_to and now - ownership.asked < FENCE_RESEND:
+    if ownership.remember_to and now - ownership.asked < FENCE_RESEND_DELAY:
         return []
     others = state.other_sidecars()
     if not others:
@@ -345,11 +345,11 @@
     closed = [record for part in parts for record in part.closed]
     covers = {name for part in parts for name in part.covers}
     covers.discard(state.incarnation)
-    covers.add(cover_as_owner(state.incarnation, ownership.epoch))
+    covers.add(owner_cover(state.incarnation, ownership.epoch))
     messages = remember_messages(
         ownership.partition,
         ownership.epoch,
-        cover_as_owner(state.incarnation, ownership.epoch),
+        owner_cover(state.incarnation, ownership.epoch),
         started,
         closed,
         tuple(sorted(covers)),
@@ -358,12 +358,12 @@
     return [Send(ownership.remember_to, message) for message in messages]
 
 
-def remember_acknowledged(state: TakeoverState, message: RememberAck) -> list[Effect]:
+def handle_remember_ack(state: TakeoverState, message: RememberAck) -> list[Effect]:
     """Note that another executor holds the own executor's records."""
     ownership = state.owned.get(message.partition)
     if ownership is None:
         return []
-    if message.source == cover_as_owner(state.incarnation, ownership.epoch):
+    if message.source == owner_cover(state.incarnation, ownership.epoch):
         ownership.remembered = True
         ownership.heard.clear()
     return []
--- a/gypsumspoke/core/handoffs.py
+++ b/gypsumspoke/core/handoffs.py
@@ -8,7 +8,7 @@
 from datetime import datetime
 
 from gypsumspoke.core.claims import claim
-from gypsumspoke.core.counted import Counter
+from gypsumspoke.core.counters import Counter
 from gypsumspoke.core.effects import Count, Effect, ReadRows, Send
 from gypsumspoke.core.events import RowsRead
 from gypsumspoke.core.messages import Handoff, HandoffAck
--- a/gypsumspoke/core/heartbeats.py
+++ b/gypsumspoke/core/heartbeats.py
@@ -3,7 +3,7 @@
 import logging
 from datetime import datetime, timedelta
 
-from gypsumspoke.core.counted import Counter
+from gypsumspoke.core.counters import Counter
 from gypsumspoke.core.effects import Count, Effect, Local, Log, Send
 from gypsumspoke.core.events import ReachabilityChanged
 from gypsumspoke.core.membership_state import MembershipState, Phase
--- a/gypsumspoke/core/home.py
+++ b/gypsumspoke/core/home.py
@@ -22,7 +22,7 @@
     takeover,
     takeover_view,
 )
-from gypsumspoke.core.counted import RetryReason
+from gypsumspoke.core.counters import RetryReason
 from gypsumspoke.core.effects import Effect
 from gypsumspoke.core.events import (
     Drain,
@@ -153,7 +153,7 @@
 ) -> list[Effect]:
     effects = dispatch.task_outcome(state, message, sender, now)
     if message.reason == RetryReason.STALE_EPOCH.value:
-        fences.epoch_refused(state.takeover, message.attempt)
+        fences.handle_stale_epoch(state.takeover, message.attempt)
     return effects
 
 
@@ -171,15 +171,15 @@
 
 @_on_message.register
 def _(message: FenceAck, sender: str, state: HomeState, now: datetime) -> list[Effect]:
-    effects = inquiries.fence_acknowledged(state, message, now)
-    return effects + fences.fence_acknowledged(state.takeover, message, now)
+    effects = inquiries.handle_fence_ack(state, message, now)
+    return effects + fences.handle_fence_ack(state.takeover, message, now)
 
 
 @_on_message.register
 def _(
     message: FenceRefused, sender: str, state: HomeState, now: datetime
 ) -> list[Effect]:
-    return fences.fence_refused(state.takeover, message)
+    return fences.handle_fence_refused(state.takeover, message)
 
 
 @_on_message.register
@@ -187,7 +187,7 @@
     message: RememberAck, sender: str, state: HomeState, now: datetime
 ) -> list[Effect]:
     adoption.retold(state, message)
-    return fences.remember_acknowledged(state.takeover, message)
+    return fences.handle_remember_ack(state.takeover, message)
 
 
 @_on_message.register
@@ -315,7 +315,7 @@
 def _(event: PeerLost, state: HomeState, now: datetime) -> list[Effect]:
     state.lost_peers.add(event.incarnation)
     state.silent_since.setdefault(event.incarnation, now)
-    fences.peer_lost(state.takeover, event.incarnation)
+    fences.handle_peer_lost(state.takeover, event.incarnation)
     return []
 
 
--- a/gypsumspoke/core/inquiries.py
+++ b/gypsumspoke/core/inquiries.py
@@ -15,12 +15,12 @@
 from datetime import datetime
 
 from gypsumspoke.core import adoption, dispatch
-from gypsumspoke.core.counted import Counter, RetryReason
+from gypsumspoke.core.counters import Counter, RetryReason
 from gypsumspoke.core.effects import Count, Effect, Log, Send
-from gypsumspoke.core.fences import whole_answer
+from gypsumspoke.core.fences import complete_ack
 from gypsumspoke.core.home_state import HomeState, Inquiry, Placed
 from gypsumspoke.core.messages import Fence, FenceAck, TaskOutcome
-from gypsumspoke.core.start_records import knows_more
+from gypsumspoke.core.start_records import supersedes
 from gypsumspoke.core.values import (
     AttemptId,
     Load,
@@ -64,7 +64,7 @@
             del state.in_flight[executor][attempt]
 
 
-def fence_acknowledged(
+def handle_fence_ack(
     state: HomeState, message: FenceAck, now: datetime
 ) -> list[Effect]:
     """Apply one part of an executor's answer."""
@@ -78,7 +78,7 @@
             continue
         parts = inquiry.parts.setdefault(name, [])
         parts.append(message)
-        answer = whole_answer(parts, message)
+        answer = complete_ack(parts, message)
         if not answer:
             continue
         inquiry.asked.discard(name)
@@ -190,6 +190,6 @@
     for record in (record for part in heard for record in part.started):
         place = (record.attempt.key, record.attempt.task)
         if place == (attempt.key, attempt.task):
-            if best is None or knows_more(record, best):
+            if best is None or supersedes(record, best):
                 best = record
     return best
--- a/gypsumspoke/core/intake.py
+++ b/gypsumspoke/core/intake.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from gypsumspoke.core import adoption, dispatch, endings
-from gypsumspoke.core.counted import Counter
+from gypsumspoke.core.counters import Counter
 from gypsumspoke.core.effects import Count, Effect
 from gypsumspoke.core.errors import ErrorKind, Work
 from gypsumspoke.core.home_state import HomeState, Parked, answer_of, reply
@@ -159,7 +159,7 @@
         ]
     if submission.birth < floor.born_before and submission.attempt < floor.attempt:
         return endings.refuse_below_floor(state, ownership, waiter, submission)
-    shortage = _shortage(state, submission, now)
+    shortage = _capacity_refusal(state, submission, now)
     if shortage is not None:
         return endings.refuse(
             state,
@@ -194,7 +194,7 @@
     retry_after: timedelta | None
 
 
-def _shortage(
+def _capacity_refusal(
     state: HomeState, submission: Submission, now: datetime
 ) -> Shortage | None:
     if not serves(state.placement, submission.service):
--- a/gypsumspoke/core/membership_view.py
+++ b/gypsumspoke/core/membership_view.py
@@ -9,7 +9,7 @@
 
 from returns.result import Success
 
-from gypsumspoke.core.counted import Counter
+from gypsumspoke.core.counters import Counter
 from gypsumspoke.core.effects import ApplyManifest, Count, Effect, Local, Log
 from gypsumspoke.core.events import (
     Drain,
--- a/gypsumspoke/core/told_records.py
+++ b/gypsumspoke/core/record_replication.py
@@ -6,7 +6,7 @@
 
 from datetime import datetime, timedelta
 
-from gypsumspoke.core.counted import Counter
+from gypsumspoke.core.counters import Counter
 from gypsumspoke.core.effects import Count, Effect, Send
 from gypsumspoke.core.executor_state import ExecutorState
 from gypsumspoke.core.messages import Remember, RememberAck
@@ -14,10 +14,10 @@
 from gypsumspoke.core.values import TaskState
 
 OWN_RECORDS = 0
-REMEMBER_RESEND = timedelta(seconds=1)
+REMEMBER_RESEND_DELAY = timedelta(seconds=1)
 
 
-def remember(
+def handle_remember(
     message: Remember, sender: str, state: ExecutorState, now: datetime
 ) -> list[Effect]:
     """Keep records that another process tells."""
@@ -37,13 +37,13 @@
         return []
     del state.parts[place]
     for part in parts.values():
-        _keep_part(state, part)
+        _add_records(state, part)
     state.records.cover(message.partition, message.covers)
     return [Send(sender, RememberAck(message.partition, message.source))]
 
 
-def _keep_part(state: ExecutorState, part: Remember) -> None:
-    state.records.note_forgotten(part.forgotten_before)
+def _add_records(state: ExecutorState, part: Remember) -> None:
+    state.records.raise_forgotten_before(part.forgotten_before)
     for record in part.started:
         if record.state is TaskState.RUNNING:
             # It runs elsewhere; its end is not known here.
@@ -53,42 +53,42 @@
         state.records.close(part.partition, closed)
 
 
-def remember_acknowledged(
+def handle_remember_ack(
     message: RememberAck, sender: str, state: ExecutorState, now: datetime
 ) -> list[Effect]:
     """Note that another executor has the own records."""
-    if message.source == state.incarnation and state.unremembered is not None:
-        state.unremembered.discard(message.partition)
+    if message.source == state.incarnation and state.unreplicated is not None:
+        state.unreplicated.discard(message.partition)
     return []
 
 
-def tell_records(state: ExecutorState, now: datetime) -> list[Effect]:
+def replicate_records(state: ExecutorState, now: datetime) -> list[Effect]:
     """Give all records to another executor before leaving.
 
     Otherwise a home's later death would leave keys of which nobody knows whether
     they ran, and their callers would be answered "unknown".
     """
-    if not state.leaving or not state.idle or state.unremembered == set():
+    if not state.leaving or not state.idle or state.unreplicated == set():
         return []
-    if state.unremembered is None:
-        state.unremembered = _partitions_to_tell(state)
-    sent = state.remember_sent
-    if sent is not None and now - sent < REMEMBER_RESEND:
+    if state.unreplicated is None:
+        state.unreplicated = _partitions_to_replicate(state)
+    sent = state.replication_sent
+    if sent is not None and now - sent < REMEMBER_RESEND_DELAY:
         return []
     targets = sorted(state.reachable & state.sidecars - {state.incarnation})
     if not targets:
         return []
-    state.remember_sent = now
+    state.replication_sent = now
     # The next round asks others: a target that leaves too does not answer.
-    state.remember_round += 1
+    state.replication_round += 1
     effects: list[Effect] = []
-    for partition in sorted(state.unremembered):
-        target = targets[(partition + state.remember_round) % len(targets)]
-        effects += _remember_effects(state, partition, target)
+    for partition in sorted(state.unreplicated):
+        target = targets[(partition + state.replication_round) % len(targets)]
+        effects += _send_records(state, partition, target)
     return effects
 
 
-def _partitions_to_tell(state: ExecutorState) -> set[int]:
+def _partitions_to_replicate(state: ExecutorState) -> set[int]:
     """Return the partitions of which another executor must know this one's starts.
 
     Also those without any: a home that finds no executor to speak for one that has left
@@ -100,9 +100,7 @@
     return partitions
 
 
-def _remember_effects(
-    state: ExecutorState, partition: int, target: str
-) -> list[Effect]:
+def _send_records(state: ExecutorState, partition: int, target: str) -> list[Effect]:
     chunks = state.records.chunks(partition)
     started = [record for chunk in chunks for record in chunk.started]
     closed = [record for chunk in chunks for record in chunk.closed]
--- a/gypsumspoke/core/refusals.py
+++ b/gypsumspoke/core/refusals.py
@@ -6,7 +6,7 @@
 from gypsumspoke.core.values import Answer
 
 
-def refusal_of(
+def refusal_answer(
     kind: ErrorKind, detail: str = "", retry_after: timedelta | None = None
 ) -> Answer:
     """Return the answer to a request that was turned away and passed to nobody.
--- a/gypsumspoke/core/refused_marks.py
+++ b/gypsumspoke/core/refused_attempts.py
@@ -21,7 +21,7 @@
     until: datetime
 
 
-class RefusedMarks:
+class RefusedAttempts:
     """The refused tries of one executor."""
 
     def __init__(self) -> None:
--- a/gypsumspoke/core/registration.py
+++ b/gypsumspoke/core/registration.py
@@ -7,7 +7,7 @@
 import logging
 from datetime import datetime, timedelta
 
-from gypsumspoke.core.counted import RetryReason
+from gypsumspoke.core.counters import RetryReason
 from gypsumspoke.core.effects import Count, Effect, Log, WriteRows
 from gypsumspoke.core.events import WriteOutcome
 from gypsumspoke.core.membership_state import MembershipState, Phase
--- a/gypsumspoke/core/sidecar.py
+++ b/gypsumspoke/core/sidecar.py
@@ -22,7 +22,7 @@
 from gypsumspoke.core.policy import Manifest
 from gypsumspoke.core.values import Member
 
-DEPART_LIMIT = timedelta(seconds=20)
+REPLICATION_TIMEOUT = timedelta(seconds=20)
 
 
 class SidecarState:
@@ -46,7 +46,7 @@
         self._partition_count = partition_count
         self._seed = seed
         self._parse_manifest = parse_manifest
-        self._compose(member)
+        self._create_reducers(member)
         self._draining_since: datetime | None = None
         self._leaving = False
         self._exited = False
@@ -66,7 +66,7 @@
         """Whether settings or an announcement told the upstream's service."""
         return bool(self._member.service)
 
-    def _compose(self, member: Member) -> None:
+    def _create_reducers(self, member: Member) -> None:
         self._member = member
         self.membership = membership.new_membership(
             member, self._partition_count, self._seed, self._parse_manifest
@@ -120,13 +120,13 @@
         if isinstance(current, Drain) and state._draining_since is None:
             state._draining_since = now
         for effect in _reduce_one(state, current, now):
-            inner = _inner_event(state, effect)
+            inner = _local_event(state, effect)
             if inner is None:
                 effects.append(effect)
             else:
                 events.append(inner)
     if isinstance(event, Tick):
-        effects += _depart(state, now)
+        effects += _continue_drain(state, now)
     return effects
 
 
@@ -136,7 +136,7 @@
         return [Exit()]
     if isinstance(event, UpstreamAnnounced) and not event.leaving:
         member = state.member._replace(service=event.service, slots=event.slots)
-        state._compose(member)
+        state._create_reducers(member)
     return []
 
 
@@ -150,7 +150,7 @@
     return effects
 
 
-def _inner_event(state: SidecarState, effect: Effect) -> object | None:
+def _local_event(state: SidecarState, effect: Effect) -> object | None:
     """Return the event that an effect is for this same process, or None."""
     if isinstance(effect, Local):
         return effect.event
@@ -159,7 +159,7 @@
     return None
 
 
-def _depart(state: SidecarState, now: datetime) -> list[Effect]:
+def _continue_drain(state: SidecarState, now: datetime) -> list[Effect]:
     if state._draining_since is None or state._exited:
         return []
     if not state._leaving:
@@ -177,5 +177,5 @@
     if not home.is_departed(state.home, now) or not state.executor.idle:
         return False
     # Without any other executor the records can't be told; don't stay for ever.
-    late = now - state._draining_since >= DEPART_LIMIT
+    late = now - state._draining_since >= REPLICATION_TIMEOUT
     return state.executor.departed or late
--- a/gypsumspoke/core/start_records.py
+++ b/gypsumspoke/core/start_records.py
@@ -17,7 +17,7 @@
 from datetime import datetime, timedelta
 from typing import NamedTuple
 
-from gypsumspoke.core.chunks import cut
+from gypsumspoke.core.chunks import split_into_chunks
 from gypsumspoke.core.messages import FenceAck, Remember
 from gypsumspoke.core.values import (
     NOTHING_FORGOTTEN,
@@ -38,7 +38,7 @@
 }
 
 
-def knows_more(record: StartRecord, other: StartRecord) -> bool:
+def supersedes(record: StartRecord, other: StartRecord) -> bool:
     """Return whether ``record`` says more about a task than ``other`` does.
 
     A later try means that the earlier one did not run after all: its executor said so
@@ -125,10 +125,10 @@
         known = tasks.get(record.attempt.task)
         if known is None:
             self._count += 1
-        elif not knows_more(record, known):
+        elif not supersedes(record, known):
             return
         tasks[record.attempt.task] = record
-        self._account(partition, record)
+        self._record_result_size(partition, record)
 
     def finish(
         self, partition: int, attempt: AttemptId, state: TaskState, result: bytes | None
@@ -139,7 +139,7 @@
             return
         ended = known._replace(state=state, result=result)
         self._started[partition][attempt.key][attempt.task] = ended
-        self._account(partition, ended)
+        self._record_result_size(partition, ended)
 
     def forget(self, partition: int, attempt: AttemptId) -> None:
         """Drop the record of a try of which no byte reached the upstream."""
@@ -149,7 +149,7 @@
             del tasks[attempt.task]
             self._count -= 1
 
-    def note_forgotten(self, born_before: datetime) -> None:
+    def raise_forgotten_before(self, born_before: datetime) -> None:
         """Note that records told by another executor were not complete before."""
         self._forgotten_before = max(self._forgotten_before, born_before)
 
@@ -168,7 +168,7 @@
         """Return whose records of a partition stand here in full, self included."""
         return tuple(sorted({self._incarnation} | self._covers.get(partition, set())))
 
-    def keep_covers(self, incarnations: Iterable[str]) -> None:
+    def retain_covers(self, incarnations: Iterable[str]) -> None:
         """Drop covers of all but these: rows stand until the retention is over."""
         known = set(incarnations)
         for partition, covered in self._covers.items():
@@ -196,7 +196,7 @@
         ]
         return chunk_records(started, list(self._closed.get(partition, {}).values()))
 
-    def _account(self, partition: int, record: StartRecord) -> None:
+    def _record_result_size(self, partition: int, record: StartRecord) -> None:
         place = (partition, record.attempt.key, record.attempt.task)
         self._result_bytes -= self._results.pop(place, 0)
         if record.result:
@@ -221,8 +221,8 @@
     Returns:
       At least one chunk, so that an empty partition is acknowledged too.
     """
-    chunks = [Chunk(part, ()) for part in cut(started, _result_bytes)]
-    chunks += [Chunk((), part) for part in cut(closed, _no_bytes)]
+    chunks = [Chunk(part, ()) for part in split_into_chunks(started, _result_bytes)]
+    chunks += [Chunk((), part) for part in split_into_chunks(closed, _no_bytes)]
     return chunks or [Chunk((), ())]
 
 
--- a/gypsumspoke/core/takeover.py
+++ b/gypsumspoke/core/takeover.py
@@ -16,12 +16,12 @@
 from gypsumspoke.core.effects import Effect
 from gypsumspoke.core.events import RowsRead
 from gypsumspoke.core.fences import (
-    fence_all,
+    continue_fencing,
     finish_if_fenced,
-    leave_out,
-    pursue_fences,
     read_members,
-    tell_own_records,
+    replicate_own_records,
+    start_fencing,
+    stop_waiting_for,
 )
 from gypsumspoke.core.handoffs import PROBE, probe_for_handoffs, probe_read, reclaim
 from gypsumspoke.core.ownership import Ownership, Phase
@@ -53,13 +53,13 @@
             return reclaim(state, ownership.partition, now)
         return []
     if ownership.phase is Phase.FENCING:
-        return pursue_fences(state, ownership, now)
+        return continue_fencing(state, ownership, now)
     if ownership.phase is Phase.READING and now - ownership.asked >= READ_RETRY:
         return read_members(ownership, now)
     if ownership.phase is Phase.CLAIMING and now - ownership.asked >= READ_RETRY:
         return check_claim(ownership, now)
     if ownership.phase is Phase.SERVING and not ownership.remembered:
-        return tell_own_records(state, ownership, now)
+        return replicate_own_records(state, ownership, now)
     return []
 
 
@@ -74,7 +74,7 @@
     for ownership in list(state.owned.values()):
         if ownership.phase is Phase.FENCING:
             ended = {name for name in ownership.required if state.is_gone(name)}
-            leave_out(ownership, ended)
+            stop_waiting_for(ownership, ended)
             effects += finish_if_fenced(state, ownership, now)
     return effects
 
@@ -91,4 +91,4 @@
     if event.rows is None or ownership.phase is not Phase.READING:
         return []
     members = [member_from_row(row) for row in event.rows]
-    return fence_all(state, ownership, members, now)
+    return start_fencing(state, ownership, members, now)
--- a/gypsumspoke/core/task_starts.py
+++ b/gypsumspoke/core/task_starts.py
@@ -8,10 +8,15 @@
 from collections import deque
 from datetime import datetime, timedelta
 
-from gypsumspoke.core.counted import Counter, RetryReason
+from gypsumspoke.core.counters import Counter, RetryReason
 from gypsumspoke.core.effects import Count, Effect, Log, Observe, Send, StartUpstream
 from gypsumspoke.core.events import UpstreamAnswered
-from gypsumspoke.core.executor_state import ExecutorState, Running, Waiting, load
+from gypsumspoke.core.executor_state import (
+    ExecutorState,
+    RunningTask,
+    WaitingTask,
+    load,
+)
 from gypsumspoke.core.messages import (
     AskAttempt,
     CancelTask,
@@ -21,8 +26,8 @@
 )
 from gypsumspoke.core.values import AttemptId, Outcome, StartRecord, TaskState
 
-RECORD_LIMIT = 200_000
-_MEAN_WEIGHT = 0.1
+MAX_RECORDS = 200_000
+_MEAN_RUN_SMOOTHING = 0.1
 
 _STATE_OF_OUTCOME = {
     Outcome.DONE: TaskState.DONE,
@@ -40,21 +45,21 @@
     effects = raise_epoch(state, message.partition, attempt.epoch)
     known = state.records.find(message.partition, attempt.key, attempt.task)
     if known is not None and known.attempt == attempt:
-        return effects + _report(state, message.partition, known, sender)
+        return effects + _report_state(state, message.partition, known, sender)
     if known is not None:
-        return effects + _refuse_started(state, attempt, sender)
+        return effects + _refuse_duplicate(state, attempt, sender)
     if _is_waiting(state, attempt):
         return effects + [Send(sender, TaskRunning(attempt, load(state)))]
-    reason = _refusal(state, message, now)
+    reason = _refusal_reason(state, message, now)
     if reason is not None:
         return effects + refuse(state, message, sender, reason)
     if len(state.running) < state.slots:
-        return effects + _start(state, Waiting(message, sender, now), now)
-    state.waiting.append(Waiting(message, sender, now))
+        return effects + _start(state, WaitingTask(message, sender, now), now)
+    state.waiting.append(WaitingTask(message, sender, now))
     return effects
 
 
-def _refusal(
+def _refusal_reason(
     state: ExecutorState, message: StartTask, now: datetime
 ) -> RetryReason | None:
     """Return why this try must not start, or None."""
@@ -78,11 +83,11 @@
         return RetryReason.DEADLINE_PASSED
     if message.birth < state.records.forgotten_before:
         return RetryReason.DEADLINE_PASSED
-    return _shortage(state)
+    return _capacity_refusal(state)
 
 
-def _shortage(state: ExecutorState) -> RetryReason | None:
-    if state.records.count + len(state.waiting) >= RECORD_LIMIT:
+def _capacity_refusal(state: ExecutorState) -> RetryReason | None:
+    if state.records.count + len(state.waiting) >= MAX_RECORDS:
         return RetryReason.EXECUTOR_QUEUE_FULL
     if len(state.running) < state.slots:
         return None
@@ -91,7 +96,7 @@
     return None
 
 
-def _start(state: ExecutorState, waiting: Waiting, now: datetime) -> list[Effect]:
+def _start(state: ExecutorState, waiting: WaitingTask, now: datetime) -> list[Effect]:
     """Record a start and only then let the body leave."""
     message = waiting.start
     attempt = message.attempt
@@ -105,7 +110,7 @@
         None,
     )
     state.records.add(message.partition, record)
-    state.running[attempt] = Running(message.partition, waiting.home, now)
+    state.running[attempt] = RunningTask(message.partition, waiting.home, now)
     waited = (now - waiting.since).total_seconds()
     return [
         Count(Counter.TASK_STARTED),
@@ -136,7 +141,7 @@
     return effects
 
 
-def upstream_answered(
+def handle_upstream_answer(
     event: UpstreamAnswered, state: ExecutorState, now: datetime
 ) -> list[Effect]:
     """Record the end of a task and tell its home."""
@@ -156,7 +161,7 @@
         state.records.finish(running.partition, attempt, ended, result)
     if event.outcome is Outcome.DONE:
         # A worker that fails every task fast must not look fast.
-        _smooth_mean(state, run_time)
+        _update_mean_run(state, run_time)
     effects = start_waiting(state, now)
     outcome = TaskOutcome(
         attempt, event.outcome, event.result, event.reason, load(state), run_time
@@ -164,11 +169,11 @@
     return [Send(running.home, outcome)] + effects
 
 
-def _smooth_mean(state: ExecutorState, run_time: timedelta) -> None:
+def _update_mean_run(state: ExecutorState, run_time: timedelta) -> None:
     if state.mean_run is None:
         state.mean_run = run_time
     else:
-        state.mean_run += (run_time - state.mean_run) * _MEAN_WEIGHT
+        state.mean_run += (run_time - state.mean_run) * _MEAN_RUN_SMOOTHING
 
 
 def refuse(
@@ -182,7 +187,7 @@
     ]
     if reason is RetryReason.STALE_EPOCH:
         effects.append(Count(Counter.REFUSED_BY_EPOCH))
-        effects.append(_refusal_log("start refused: stale epoch", message.attempt))
+        effects.append(_log_refusal("start refused: stale epoch", message.attempt))
     return effects
 
 
@@ -192,7 +197,7 @@
     return TaskOutcome(attempt, Outcome.NOT_RUN, b"", reason.value, load(state), None)
 
 
-def _refuse_started(
+def _refuse_duplicate(
     state: ExecutorState, attempt: AttemptId, home: str
 ) -> list[Effect]:
     """Refuse a task that another try has started; nothing is claimed about it."""
@@ -202,12 +207,12 @@
     )
     return [
         Count(Counter.REFUSED_AS_DUPLICATE),
-        _refusal_log("start refused: already started", attempt),
+        _log_refusal("start refused: already started", attempt),
         Send(home, outcome),
     ]
 
 
-def _refusal_log(event: str, attempt: AttemptId) -> Log:
+def _log_refusal(event: str, attempt: AttemptId) -> Log:
     return Log(logging.INFO, event, attempt.key, attempt.task, attempt.number)
 
 
@@ -215,7 +220,7 @@
     return any(waiting.start.attempt == attempt for waiting in state.waiting)
 
 
-def _report(
+def _report_state(
     state: ExecutorState, partition: int, record: StartRecord, home: str
 ) -> list[Effect]:
     """Tell a home how far a started task is; a running one reports to it later."""
@@ -233,16 +238,16 @@
     ]
 
 
-def ask_attempt(
+def report_attempt(
     message: AskAttempt, sender: str, state: ExecutorState, now: datetime
 ) -> list[Effect]:
     """Say what became of a try; one never seen never starts."""
     attempt = message.attempt
     known = state.records.find(message.partition, attempt.key, attempt.task)
     if known is not None and known.attempt == attempt:
-        return _report(state, message.partition, known, sender)
+        return _report_state(state, message.partition, known, sender)
     if known is not None:
-        return _refuse_started(state, attempt, sender)
+        return _refuse_duplicate(state, attempt, sender)
     for place, waiting in enumerate(state.waiting):
         if waiting.start.attempt == attempt:
             state.waiting[place] = waiting._replace(home=sender)
@@ -259,7 +264,7 @@
     attempt = message.attempt
     known = state.records.find(message.partition, attempt.key, attempt.task)
     if known is not None:
-        return _report(state, message.partition, known, sender)
+        return _report_state(state, message.partition, known, sender)
     state.waiting = deque(
         waiting for waiting in state.waiting if waiting.start.attempt != attempt
     )
@@ -267,8 +272,8 @@
     return [Send(sender, _not_run(state, attempt, RetryReason.TASK_CANCELLED))]
 
 
-def drop_waiting(
-    state: ExecutorState, dropped: list[Waiting], reason: RetryReason
+def refuse_waiting(
+    state: ExecutorState, dropped: list[WaitingTask], reason: RetryReason
 ) -> list[Effect]:
     effects: list[Effect] = []
     for waiting in dropped:
@@ -277,10 +282,10 @@
     return effects
 
 
-def give_waiting_back(state: ExecutorState) -> list[Effect]:
+def refuse_all_waiting(state: ExecutorState) -> list[Effect]:
     """Refuse waiting tasks so that their homes place them elsewhere at once."""
     waiting = list(state.waiting)
-    return drop_waiting(state, waiting, RetryReason.EXECUTOR_LEAVING)
+    return refuse_waiting(state, waiting, RetryReason.EXECUTOR_LEAVING)
 
 
 def raise_epoch(state: ExecutorState, partition: int, epoch: int) -> list[Effect]:
@@ -297,4 +302,4 @@
         for waiting in state.waiting
         if waiting.start.partition == partition and waiting.start.attempt.epoch < epoch
     ]
-    return drop_waiting(state, stale, RetryReason.STALE_EPOCH)
+    return refuse_waiting(state, stale, RetryReason.STALE_EPOCH)
--- a/gypsumspoke/shell/entry_http.py
+++ b/gypsumspoke/shell/entry_http.py
@@ -18,14 +18,14 @@
 from gypsumspoke.core.copies import DEADLINE_GRACE
 from gypsumspoke.core.effects import Count, Deliver
 from gypsumspoke.core.entry import (
-    QUERY_PATIENCE,
+    QUERY_TIMEOUT,
     CallerArrived,
     CallerLeft,
     CancelArrived,
     QueryArrived,
 )
 from gypsumspoke.core.errors import ErrorKind
-from gypsumspoke.core.refusals import refusal_of
+from gypsumspoke.core.refusals import refusal_answer
 from gypsumspoke.core.values import Answer, JobKey
 from gypsumspoke.parser.job_request import BODY_LIMIT, RequestError, parse_job_request
 from gypsumspoke.shell.http_answers import (
@@ -114,7 +114,7 @@
         return job_answer(submission.key, self._ask(arrived, patience))
 
     def _ask(
-        self, event_for: Callable[[str], Any], patience: timedelta = QUERY_PATIENCE
+        self, event_for: Callable[[str], Any], patience: timedelta = QUERY_TIMEOUT
     ) -> Answer:
         """Post the event of a new request and wait for its answer."""
         request, result = self._waiters.open()
@@ -127,13 +127,13 @@
             _log.error({"message": "no answer from the reducer", "details": details})
             self._post(CallerLeft(request))
             self._count(Count(ErrorKind.INTERNAL))
-            return refusal_of(ErrorKind.INTERNAL)
+            return refusal_answer(ErrorKind.INTERNAL)
         finally:
             self._waiters.close(request)
 
     def _refuse(self, kind: ErrorKind, detail: str, **more: Any) -> HttpAnswer:
         self._count(Count(kind))
-        return problem(refusal_of(kind, detail), **more)
+        return problem(refusal_answer(kind, detail), **more)
 
     def _refuse_body(self, errors: tuple[RequestError, ...]) -> HttpAnswer:
         listed = [error._asdict() for error in errors]
--- a/gypsumspoke/shell/metrics.py
+++ b/gypsumspoke/shell/metrics.py
@@ -19,7 +19,7 @@
 )
 
 from gypsumspoke import __version__
-from gypsumspoke.core.counted import Counter, RetryReason
+from gypsumspoke.core.counters import Counter, RetryReason
 from gypsumspoke.core.effects import Count, Log, Observe
 from gypsumspoke.core.errors import ErrorKind
 from gypsumspoke.runs.values import EndReason, LeaseEvent, RefusalReason
--- a/gypsumspoke/shell/operator_http.py
+++ b/gypsumspoke/shell/operator_http.py
@@ -19,7 +19,7 @@
 from gypsumspoke.core.errors import ErrorKind
 from gypsumspoke.core.events import Received, WriteOutcome
 from gypsumspoke.core.messages import ManifestUpdate
-from gypsumspoke.core.refusals import refusal_of
+from gypsumspoke.core.refusals import refusal_answer
 from gypsumspoke.core.rows import (
     MANIFEST_KEY,
     MEMBERS_PREFIX,
@@ -66,7 +66,7 @@
     def __init__(self, kind: ErrorKind, detail: str, **more: Any) -> None:
         super().__init__(detail)
         self.kind = kind
-        self.answer = problem(refusal_of(kind, detail), **more)
+        self.answer = problem(refusal_answer(kind, detail), **more)
 
 
 class OperatorHttp:
--- a/gypsumspoke/shell/upstream_client.py
+++ b/gypsumspoke/shell/upstream_client.py
@@ -12,7 +12,7 @@
 import gevent
 from returns.pipeline import is_successful
 
-from gypsumspoke.core.counted import RetryReason
+from gypsumspoke.core.counters import RetryReason
 from gypsumspoke.core.effects import StartUpstream
 from gypsumspoke.core.events import UpstreamAnswered
 from gypsumspoke.core.policy import ServicePolicy
--- a/gypsumspoke/shell/upstream_http.py
+++ b/gypsumspoke/shell/upstream_http.py
@@ -13,7 +13,7 @@
 from gypsumspoke.core.effects import Count
 from gypsumspoke.core.errors import ErrorKind
 from gypsumspoke.core.events import UpstreamAnnounced
-from gypsumspoke.core.refusals import refusal_of
+from gypsumspoke.core.refusals import refusal_answer
 from gypsumspoke.core.sidecar import SidecarState
 from gypsumspoke.parser.announcement import Announcement, parse_announcement
 from gypsumspoke.shell.http_answers import (
@@ -136,7 +136,7 @@
         self, detail: str, kind: ErrorKind = ErrorKind.INVALID_REQUEST
     ) -> HttpAnswer:
         self._count(Count(kind))
-        return problem(refusal_of(kind, detail))
+        return problem(refusal_answer(kind, detail))
 
     def _show(self, environ: Environ) -> HttpAnswer:
         return json_answer(self._status())
--- a/gypsumspoke/tools/measure_model.py
+++ b/gypsumspoke/tools/measure_model.py
@@ -13,7 +13,7 @@
 from datetime import datetime, timedelta, timezone
 from typing import NamedTuple
 
-from gypsumspoke.core.counted import RetryReason
+from gypsumspoke.core.counters import RetryReason
 from gypsumspoke.core.fair_queue import discard, new_fair_queue, pop, push
 from gypsumspoke.core.placement import (
     DEFAULT_STRATEGY,
--- a/tests/core/test_copies.py
+++ b/tests/core/test_copies.py
@@ -1,7 +1,7 @@
 """A copy on its way: homes that are lost, move, are silent, or are not ready."""
 
 from gypsumspoke.core import copies
-from gypsumspoke.core.counted import RetryReason
+from gypsumspoke.core.counters import RetryReason
 from gypsumspoke.core.effects import Local
 from gypsumspoke.core.errors import ErrorKind, Work
 from gypsumspoke.core.events import PeerLost, Tick
--- a/tests/core/test_entry.py
+++ b/tests/core/test_entry.py
@@ -1,7 +1,7 @@
 """What an entry passes on, sends again, answers and refuses."""
 
 from gypsumspoke.core import entry
-from gypsumspoke.core.counted import Counter
+from gypsumspoke.core.counters import Counter
 from gypsumspoke.core.errors import ErrorKind, Work
 from gypsumspoke.core.events import Drain
 from gypsumspoke.core.messages import QueryJob, SubmitJob
--- a/tests/core/test_executor_starts.py
+++ b/tests/core/test_executor_starts.py
@@ -3,7 +3,7 @@
 from datetime import datetime, timedelta, timezone
 
 from gypsumspoke.core import executor, executor_state
-from gypsumspoke.core.counted import RetryReason
+from gypsumspoke.core.counters import RetryReason
 from gypsumspoke.core.effects import Send, StartUpstream
 from gypsumspoke.core.events import PartitionsChanged, Received, UpstreamAnswered
 from gypsumspoke.core.messages import (
--- a/tests/core/test_fences.py
+++ b/tests/core/test_fences.py
@@ -3,12 +3,12 @@
 from datetime import timedelta
 
 from gypsumspoke.core.fences import (
-    ASKED_AGAIN_LIMIT,
-    fence_acknowledged,
-    fence_all,
+    SECOND_FENCE_TIMEOUT,
+    continue_fencing,
     finish_if_fenced,
-    leave_out,
-    pursue_fences,
+    handle_fence_ack,
+    start_fencing,
+    stop_waiting_for,
 )
 from gypsumspoke.core.messages import FenceAck
 from gypsumspoke.core.ownership import Ownership, Phase, Serving
@@ -54,8 +54,8 @@
     ownership = Ownership(0, 2, former, None, "", START)
     state.owned[0] = ownership
     members = [_member(name) for name in (HOME, *others)]
-    fence_all(state, ownership, members, START)
-    fence_acknowledged(state, _answer(HOME, 0, 1), START)
+    start_fencing(state, ownership, members, START)
+    handle_fence_ack(state, _answer(HOME, 0, 1), START)
     return state, ownership
 
 
@@ -70,9 +70,9 @@
     A fence was sent again before its answer came. The second answer is cut otherwise.
     """
     state, ownership = _fencing(OTHER, LATE)
-    fence_acknowledged(state, _answer(OTHER, 0, 1, tasks=(0, 1)), START)
-    fence_acknowledged(state, _answer(OTHER, 0, 2, tasks=(0,)), START)
-    fence_acknowledged(state, _answer(LATE, 0, 1), START)
+    handle_fence_ack(state, _answer(OTHER, 0, 1, tasks=(0, 1)), START)
+    handle_fence_ack(state, _answer(OTHER, 0, 2, tasks=(0,)), START)
+    handle_fence_ack(state, _answer(LATE, 0, 1), START)
     assert ownership.phase is Phase.SERVING
     assert set(_served(state).adopted[KEY].started) == {0, 1}
 
@@ -83,17 +83,17 @@
     An executor left unheard, the other is asked again, and half of its answer comes.
     """
     state, ownership = _fencing(OTHER, LATE)
-    fence_acknowledged(state, _answer(OTHER, 0, 1), START)
+    handle_fence_ack(state, _answer(OTHER, 0, 1), START)
     state.members[LATE] = _member(LATE, ended=START)
-    leave_out(ownership, {LATE})
+    stop_waiting_for(ownership, {LATE})
     finish_if_fenced(state, ownership, START)
-    fence_acknowledged(state, _answer(HOME, 0, 1), START)
+    handle_fence_ack(state, _answer(HOME, 0, 1), START)
     assert ownership.awaited == {OTHER}
-    fence_acknowledged(state, _answer(OTHER, 0, 2, covers=(LATE,)), START)
+    handle_fence_ack(state, _answer(OTHER, 0, 2, covers=(LATE,)), START)
     assert ownership.phase is Phase.FENCING
-    late = START + ASKED_AGAIN_LIMIT
-    pursue_fences(state, ownership, late - timedelta(milliseconds=1))
+    late = START + SECOND_FENCE_TIMEOUT
+    continue_fencing(state, ownership, late - timedelta(milliseconds=1))
     assert ownership.phase is Phase.FENCING
-    pursue_fences(state, ownership, late)
+    continue_fencing(state, ownership, late)
     assert ownership.phase is Phase.SERVING
     assert ownership.unheard == {LATE}
--- a/tests/core/test_home.py
+++ b/tests/core/test_home.py
@@ -2,7 +2,7 @@
 
 from datetime import timedelta
 
-from gypsumspoke.core.counted import Counter
+from gypsumspoke.core.counters import Counter
 from gypsumspoke.core.errors import ErrorKind, Work
 from gypsumspoke.core.values import Outcome
 from tests.core.system import settled_system
--- a/tests/core/test_rolling.py
+++ b/tests/core/test_rolling.py
@@ -7,7 +7,7 @@
 from gypsumspoke.core.effects import Send
 from gypsumspoke.core.errors import ErrorKind, Work
 from gypsumspoke.core.messages import Fence, Remember, StartTask, TaskOutcome
-from gypsumspoke.core.told_records import tell_records
+from gypsumspoke.core.record_replication import replicate_records
 from gypsumspoke.core.values import Outcome
 from tests.core.system import settled_system
 
@@ -273,7 +273,7 @@
 
     _pass_all_but(system, is_start)
     for node in system.nodes.values():
-        node.state.executor.records.note_forgotten(system.now)
+        node.state.executor.records.raise_forgotten_before(system.now)
     _replace(system, leaver, is_start)
     (answer,) = system.answers(submission.key)
     assert (answer.kind, answer.work) == (ErrorKind.WORKER_LOST, Work.UNKNOWN)
@@ -336,7 +336,7 @@
     state.leaving = True
     told = {
         effect.message.partition
-        for effect in tell_records(state, system.now)
+        for effect in replicate_records(state, system.now)
         if isinstance(effect, Send) and isinstance(effect.message, Remember)
     }
     assert told == set(range(system.partitions))
--- a/tests/core/test_safeguards.py
+++ b/tests/core/test_safeguards.py
@@ -16,20 +16,20 @@
     home,
     inquiries,
     ledger,
-    refused_marks,
+    record_replication,
+    refused_attempts,
     self_check,
     start_records,
     task_starts,
-    told_records,
 )
-from gypsumspoke.core.counted import RetryReason
+from gypsumspoke.core.counters import RetryReason
 from tests.core import test_executor_starts as starts, test_takeover as histories
 
 LONG_AGO = datetime(2000, 1, 1, tzinfo=timezone.utc)
 
 
 def _without_refusal(reason):
-    with_all = task_starts._refusal
+    with_all = task_starts._refusal_reason
 
     def refusal(state, message, now):
         found = with_all(state, message, now)
@@ -50,7 +50,7 @@
 
 
 def _uncovered_but_for_the_former_owner(state, ownership, parts, now):
-    found = _UNCOVERED(state, ownership, parts, now)
+    found = _FIND_UNCOVERED(state, ownership, parts, now)
     former = ownership.former
     return found - ({former.owner} if former is not None else set())
 
@@ -67,19 +67,19 @@
     __hash__ = int.__hash__
 
 
-_UNCOVERED = fences._uncovered
+_FIND_UNCOVERED = fences._find_uncovered
 
 SWITCHED_OFF = [
     pytest.param(
         task_starts,
-        "_refusal",
+        "_refusal_reason",
         _without_refusal(RetryReason.STALE_EPOCH),
         histories.test_a_paused_home_that_wakes_starts_nothing,
         id="executors refuse lower epochs",
     ),
     pytest.param(
         task_starts,
-        "_refusal",
+        "_refusal_reason",
         _without_refusal(RetryReason.EXECUTOR_JOINING),
         starts.test_nothing_starts_before_the_map_was_read,
         id="executors wait for the map",
@@ -92,7 +92,7 @@
         id="a fence drops waiting tasks",
     ),
     pytest.param(
-        refused_marks.RefusedMarks,
+        refused_attempts.RefusedAttempts,
         "add",
         lambda self, attempt, until: None,
         starts.test_a_try_said_never_seen_does_not_start_when_its_message_comes_late,
@@ -121,21 +121,21 @@
     ),
     pytest.param(
         fences,
-        "_uncovered",
+        "_find_uncovered",
         lambda state, ownership, parts, now: set(),
         histories.test_keys_whose_records_were_lost_are_unknown,
         id="lost records make old keys unknown",
     ),
     pytest.param(
         fences,
-        "_uncovered",
+        "_find_uncovered",
         _uncovered_but_for_the_former_owner,
         histories.test_a_death_before_the_records_were_told_makes_old_keys_unknown,
         id="the former owner's executor must be covered",
     ),
     pytest.param(
         fences,
-        "cover_as_owner",
+        "owner_cover",
         lambda incarnation, epoch: incarnation,
         histories.test_what_an_owner_told_does_not_cover_later_starts,
         id="an owner's cover ends with its ownership",
@@ -162,7 +162,7 @@
         id="homes tell on what lost executors knew",
     ),
     pytest.param(
-        told_records,
+        record_replication,
         "OWN_RECORDS",
         AnyEpoch(),
         histories.test_a_replaced_home_does_not_tell_on_what_its_successor_placed,
--- a/tests/core/test_sidecar.py
+++ b/tests/core/test_sidecar.py
@@ -1,7 +1,7 @@
 """The sidecar as a whole: waiting for its upstream, leaving, and told to leave."""
 
 from gypsumspoke.core import sidecar
-from gypsumspoke.core.counted import RetryReason
+from gypsumspoke.core.counters import RetryReason
 from gypsumspoke.core.effects import Exit
 from gypsumspoke.core.errors import ErrorKind
 from gypsumspoke.core.events import Drain, Tick, UpstreamAnnounced
--- a/tests/core/test_takeover.py
+++ b/tests/core/test_takeover.py
@@ -6,7 +6,7 @@
 
 from datetime import timedelta
 
-from gypsumspoke.core.counted import Counter
+from gypsumspoke.core.counters import Counter
 from gypsumspoke.core.errors import ErrorKind, Work
 from gypsumspoke.core.events import ManifestChanged, Received
 from gypsumspoke.core.messages import Handoff, Remember, StartTask
--- a/tests/shell/test_metrics.py
+++ b/tests/shell/test_metrics.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from gypsumspoke.core.counted import Counter, RetryReason
+from gypsumspoke.core.counters import Counter, RetryReason
 from gypsumspoke.core.effects import Count, Observe
 from gypsumspoke.core.errors import ErrorKind
 from gypsumspoke.shell.metrics import HISTOGRAMS, MAX_LABEL_VALUES, Metrics
--- a/tests/shell/test_runtime.py
+++ b/tests/shell/test_runtime.py
@@ -8,7 +8,7 @@
 import pytest
 
 from gypsumspoke.core.clock import SystemClock
-from gypsumspoke.core.counted import Counter
+from gypsumspoke.core.counters import Counter
 from gypsumspoke.core.effects import Count, Exit, ReadRows, Send
 from gypsumspoke.core.events import Drain, Received, RowsRead, Tick
 from gypsumspoke.core.messages import QueryJob
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from gypsumspoke.core.counted import Counter, RetryReason
+from gypsumspoke.core.counters import Counter, RetryReason
 from gypsumspoke.core.errors import ErrorKind
 from gypsumspoke.runs.values import EndReason, LeaseEvent, RefusalReason
 from gypsumspoke.shell.metrics import HISTOGRAMS
