--- a/gypsumspoke/core/admission.py
+++ b/gypsumspoke/core/admission.py
@@ -12,8 +12,8 @@
 from gypsumspoke.core.refusals import refusal_answer
 from gypsumspoke.core.values import Answer, Submission
 
-WAITING_LIMIT = 2_000
-WAITING_BYTES_LIMIT = 8_000_000
+MAX_WAITING_REQUESTS = 2_000
+MAX_WAITING_BYTES = 8_000_000
 
 
 def submission_refusal(
@@ -36,8 +36,8 @@
         return refusal_answer(ErrorKind.ENTRY_DRAINING)
     if state.manifest is None:
         return refusal_answer(ErrorKind.ENTRY_NOT_READY)
-    is_full = len(state.waiting) >= WAITING_LIMIT
-    if is_full or state.waiting_bytes >= WAITING_BYTES_LIMIT:
+    is_full = len(state.waiting) >= MAX_WAITING_REQUESTS
+    if is_full or state.waiting_bytes >= MAX_WAITING_BYTES:
         return refusal_answer(ErrorKind.ENTRY_OVERLOADED)
     return None
 
--- a/gypsumspoke/core/adoption.py
+++ b/gypsumspoke/core/adoption.py
@@ -11,15 +11,15 @@
 
 from gypsumspoke.core.chunks import split_into_chunks
 from gypsumspoke.core.counters import Counter
-from gypsumspoke.core.dispatch import adopt_running, enqueue, release
+from gypsumspoke.core.dispatch import enqueue, stop_tracking, track_adopted
 from gypsumspoke.core.effects import Count, Effect, Send
-from gypsumspoke.core.endings import begin_ending, complete
+from gypsumspoke.core.endings import begin_ending, complete_job
 from gypsumspoke.core.errors import ErrorKind, Work
 from gypsumspoke.core.handoffs import begin_handoff
 from gypsumspoke.core.home_state import (
     HomeState,
-    Parked,
-    Retelling,
+    ParkedRequest,
+    RecordTransfer,
     answer_of,
     reply,
 )
@@ -51,7 +51,7 @@
 # Taking over
 
 
-def begin_serving(state: HomeState, notice: PartitionServed) -> list[Parked]:
+def begin_serving(state: HomeState, notice: PartitionServed) -> list[ParkedRequest]:
     """Fill ledger and adopted jobs of a partition.
 
     Returns:
@@ -125,7 +125,7 @@
     if kind is not None:
         return effects + begin_ending(state, job, kind, now)
     if job.is_done:
-        return effects + complete(state, job, now)
+        return effects + complete_job(state, job, now)
     enqueue(state, job)
     return effects
 
@@ -143,7 +143,7 @@
     slot.executor = holder
     if record.state is TaskState.RUNNING:
         slot.state = SlotState.PLACED
-        return [adopt_running(state, job, number, now)]
+        return [track_adopted(state, job, number, now)]
     if record.state is TaskState.DONE:
         job.set_done(slot, record.result or b"")
     else:
@@ -192,7 +192,7 @@
     return effects
 
 
-def _key_of(parked: Parked) -> JobKey:
+def _key_of(parked: ParkedRequest) -> JobKey:
     message = parked.message
     key = getattr(message, "key", None)
     return key if key is not None else message.submission.key
@@ -205,10 +205,10 @@
     for job in list(state.jobs.get(partition, {}).values()):
         state.remove_job(job)
         job.dropped = True
-        release(state, job, now)
+        stop_tracking(state, job, now)
         key = job.submission.key
         effects += [reply(waiter, key, answer) for waiter in job.waiters]
-    waiting = [state.unsent.pop(partition, None)]
+    waiting = [state.unsent_confirmations.pop(partition, None)]
     waiting.append(state.confirmations.pop(partition, (0, None))[1])
     for confirmation in waiting:
         for refusal in confirmation.refusals if confirmation else ():
@@ -342,7 +342,7 @@
         return []
     partition = ownership.partition
     source = f"{lost}@{ownership.epoch}"
-    state.retellings[partition, source] = Retelling(lost, now)
+    state.record_transfers[partition, source] = RecordTransfer(lost, now)
     closed = [
         _closed_of_finished(record)
         for record in state.ledger.all_finished(partition)
@@ -402,16 +402,16 @@
 
 def handle_remember_ack(state: HomeState, message: RememberAck) -> None:
     """Note that another executor holds a lost one's records."""
-    state.retellings.pop((message.partition, message.source), None)
+    state.record_transfers.pop((message.partition, message.source), None)
 
 
 def resend_lost_records(state: HomeState, now: datetime) -> list[Effect]:
     """Repeat what no executor acknowledged; drop what is no longer owned."""
     effects: list[Effect] = []
-    for place, retelling in list(state.retellings.items()):
+    for place, retelling in list(state.record_transfers.items()):
         if now - retelling.sent < state.policy.takeover_after:
             continue
-        del state.retellings[place]
+        del state.record_transfers[place]
         ownership = state.serving(place[0])
         if ownership is not None and place[1].endswith(f"@{ownership.epoch}"):
             effects += _retell(state, ownership, retelling.lost, now)
--- a/gypsumspoke/core/dispatch.py
+++ b/gypsumspoke/core/dispatch.py
@@ -11,7 +11,7 @@
 
 from gypsumspoke.core.counters import Counter, RetryReason
 from gypsumspoke.core.effects import Count, Effect, Send
-from gypsumspoke.core.endings import begin_ending, complete, note_ending_progress
+from gypsumspoke.core.endings import begin_ending, complete_job, finish_if_settled
 from gypsumspoke.core.errors import ErrorKind
 from gypsumspoke.core.fair_queue import (
     FairQueue,
@@ -19,22 +19,22 @@
     peek,
     pop,
     push,
-    push_again,
+    requeue,
 )
-from gypsumspoke.core.home_state import HomeState, Placed
+from gypsumspoke.core.home_state import HomeState, PlacedAttempt
 from gypsumspoke.core.jobs import Job, SlotState, TaskSlot
 from gypsumspoke.core.messages import AskAttempt, StartTask, TaskOutcome, TaskRunning
 from gypsumspoke.core.placement import (
-    choose,
+    choose_executor,
     expected_run,
-    note_load,
-    note_outcome,
-    note_placed,
+    record_outcome,
+    record_placement,
+    update_load,
 )
 from gypsumspoke.core.values import AttemptId, Outcome
 
 STILL_RUNNING = "still_running"
-ASK_AFTER = timedelta(seconds=4)
+ATTEMPT_QUERY_DELAY = timedelta(seconds=4)
 SCAN_INTERVAL = timedelta(milliseconds=500)
 RETRY_RESERVE = 10.0
 DEFAULT_WEIGHT = 1.0
@@ -59,9 +59,9 @@
     _count_queued(state, team)
 
 
-def _enqueue_again(state: HomeState, job: Job, number: int) -> None:
+def _requeue_task(state: HomeState, job: Job, number: int) -> None:
     team = job.submission.key.team
-    push_again(_queue(state, job.submission.service), team, (job, number))
+    requeue(_queue(state, job.submission.service), team, (job, number))
     _count_queued(state, team)
 
 
@@ -84,17 +84,17 @@
             job, number = item
             slot = job.slots[number]
             if job.dropped or job.is_ending or slot.state is not SlotState.WAITING:
-                _take(state, queue)
+                _dequeue(state, queue)
                 continue
-            target = _choose(state, service, slot, now)
+            target = _choose_target(state, service, slot, now)
             if target is None:
                 break
-            _take(state, queue)
-            effects += _place(state, job, number, target, now)
+            _dequeue(state, queue)
+            effects += _place_task(state, job, number, target, now)
     return effects
 
 
-def _take(state: HomeState, queue) -> None:
+def _dequeue(state: HomeState, queue) -> None:
     job, _ = pop(queue)
     team = job.submission.key.team
     state.queued -= 1
@@ -103,13 +103,13 @@
         del state.team_queued[team]
 
 
-def _choose(
+def _choose_target(
     state: HomeState, service: str, slot: TaskSlot, now: datetime
 ) -> str | None:
-    target = choose(state.placement, service, slot.avoid, now)
-    if target is None and slot.avoid:
+    target = choose_executor(state.placement, service, slot.excluded, now)
+    if target is None and slot.excluded:
         # All others are full: the ones that refused may have room by now.
-        slot.avoid = frozenset()
+        slot.excluded = frozenset()
     member = state.takeover.member(target) if target is not None else None
     if member is None or member.worker == state.member.worker:
         # On the own worker one death would take home and start record together.
@@ -117,7 +117,7 @@
     return target
 
 
-def _place(
+def _place_task(
     state: HomeState, job: Job, number: int, target: str, now: datetime
 ) -> list[Effect]:
     slot = job.slots[number]
@@ -129,15 +129,15 @@
     slot.attempt = AttemptId(submission.key, number, state.placement_number, epoch)
     slot.state = SlotState.PLACED
     slot.executor = target
-    slot.placed = slot.asked = now
+    slot.placed_at = slot.asked_at = now
     slot.is_running = False
     slot.placements += 1
     if slot.placements == 1:
         budget = state.retry_tokens + state.policy.retry_budget
         state.retry_tokens = min(budget, RETRY_RESERVE * 10)
     job.messages += 1
-    note_placed(state.placement, target, now)
-    state.in_flight.setdefault(target, {})[slot.attempt] = Placed(job, number)
+    record_placement(state.placement, target, now)
+    state.in_flight.setdefault(target, {})[slot.attempt] = PlacedAttempt(job, number)
     start = StartTask(
         slot.attempt,
         job.partition,
@@ -153,12 +153,14 @@
     return [Count(Counter.TASK_PLACED), Send(target, start)]
 
 
-def adopt_running(state: HomeState, job: Job, number: int, now: datetime) -> Effect:
+def track_adopted(state: HomeState, job: Job, number: int, now: datetime) -> Effect:
     """Follow a task that a former owner placed; its executor is asked."""
     slot = job.slots[number]
-    slot.placed = slot.asked = now
-    state.in_flight.setdefault(slot.executor, {})[slot.attempt] = Placed(job, number)
-    note_placed(state.placement, slot.executor, now)
+    slot.placed_at = slot.asked_at = now
+    state.in_flight.setdefault(slot.executor, {})[slot.attempt] = PlacedAttempt(
+        job, number
+    )
+    record_placement(state.placement, slot.executor, now)
     job.messages += 1
     return Send(slot.executor, AskAttempt(slot.attempt, job.partition))
 
@@ -167,15 +169,15 @@
 # Outcomes
 
 
-def task_outcome(
+def handle_task_outcome(
     state: HomeState, message: TaskOutcome, sender: str, now: datetime
 ) -> list[Effect]:
     """Apply the end of one try."""
     placed = state.in_flight.get(sender, {}).pop(message.attempt, None)
     if placed is None:
-        note_load(state.placement, sender, message.load, now)
+        update_load(state.placement, sender, message.load, now)
         return [Count(Counter.LATE_ANSWER_DROPPED)]
-    ejected = note_outcome(
+    ejected = record_outcome(
         state.placement,
         sender,
         message.outcome,
@@ -193,7 +195,7 @@
         return effects + _task_done(state, job, slot, message, now)
     if message.outcome is Outcome.NOT_RUN:
         return effects + _task_not_run(state, job, placed.task, message.reason, now)
-    return effects + _task_lost(state, job, slot, message, now)
+    return effects + _task_failed_or_unknown(state, job, slot, message, now)
 
 
 def _task_done(
@@ -203,20 +205,20 @@
     if message.run_time is not None:
         job.longest_run = max(job.longest_run, message.run_time)
     if job.is_done:
-        return complete(state, job, now)
+        return complete_job(state, job, now)
     if job.is_ending:
-        return note_ending_progress(state, job, now)
+        return finish_if_settled(state, job, now)
     return []
 
 
-def _task_lost(
+def _task_failed_or_unknown(
     state: HomeState, job: Job, slot: TaskSlot, message: TaskOutcome, now: datetime
 ) -> list[Effect]:
     """End the job of a task that failed or is unknown; it is never tried again."""
     failed = message.outcome is Outcome.FAILED
     slot.state = SlotState.FAILED if failed else SlotState.UNKNOWN
     if job.is_ending:
-        return note_ending_progress(state, job, now)
+        return finish_if_settled(state, job, now)
     kind = ErrorKind.TASK_FAILED if failed else ErrorKind.WORKER_LOST
     detail = f"task {message.attempt.task}: {message.reason}"
     return begin_ending(state, job, kind, now, detail)
@@ -226,14 +228,14 @@
     state: HomeState, job: Job, number: int, reason: str, now: datetime
 ) -> list[Effect]:
     slot = job.slots[number]
-    job.wasted[_known_reason(reason).value] += 2
+    job.wasted[_parse_reason(reason).value] += 2
     if not job.resumable:
         # Records of other tries of this task may be lost, so it may have run there.
         slot.state = SlotState.UNKNOWN
     else:
         slot.state = SlotState.WAITING
     if job.is_ending:
-        return note_ending_progress(state, job, now)
+        return finish_if_settled(state, job, now)
     if slot.state is SlotState.UNKNOWN:
         return begin_ending(state, job, ErrorKind.WORKER_LOST, now)
     if not _may_retry(state, slot):
@@ -241,12 +243,12 @@
         kind = ErrorKind.RETRIES_EXHAUSTED
         return begin_ending(state, job, kind, now, detail)
     state.retry_tokens -= 1
-    slot.avoid = slot.avoid | {slot.executor}
-    _enqueue_again(state, job, number)
-    return [Count(_known_reason(reason))]
+    slot.excluded = slot.excluded | {slot.executor}
+    _requeue_task(state, job, number)
+    return [Count(_parse_reason(reason))]
 
 
-def _known_reason(reason: str) -> RetryReason:
+def _parse_reason(reason: str) -> RetryReason:
     """Return the reason; a peer of another release may name one unknown here."""
     try:
         return RetryReason(reason)
@@ -260,20 +262,20 @@
     return state.retry_tokens > -RETRY_RESERVE
 
 
-def task_running(
+def handle_task_running(
     state: HomeState, message: TaskRunning, sender: str, now: datetime
 ) -> list[Effect]:
     """Note that a task is alive at its executor."""
-    note_load(state.placement, sender, message.load, now)
+    update_load(state.placement, sender, message.load, now)
     placed = state.in_flight.get(sender, {}).get(message.attempt)
     if placed is None:
         return []
     slot = placed.job.slots[placed.task]
-    slot.asked = now
+    slot.asked_at = now
     slot.is_running = True
     placed.job.wasted[STILL_RUNNING] += 2
     if placed.job.is_ending and not placed.job.dropped:
-        return note_ending_progress(state, placed.job, now)
+        return finish_if_settled(state, placed.job, now)
     return []
 
 
@@ -281,18 +283,18 @@
 # Silence
 
 
-def ask_again(state: HomeState, executor: str, now: datetime) -> list[Effect]:
+def query_attempts(state: HomeState, executor: str, now: datetime) -> list[Effect]:
     """Ask about all tries at an executor whose connection was replaced."""
     effects: list[Effect] = []
     for attempt, placed in state.in_flight.get(executor, {}).items():
-        placed.job.slots[placed.task].asked = now
+        placed.job.slots[placed.task].asked_at = now
         placed.job.messages += 1
         effects.append(Count(RetryReason.CONNECTION_LOST))
         effects.append(Send(executor, AskAttempt(attempt, placed.job.partition)))
     return effects
 
 
-def scan(state: HomeState, now: datetime) -> list[Effect]:
+def check_silent_executors(state: HomeState, now: datetime) -> list[Effect]:
     """Ask after long silence, and give up on executors that stay unreachable.
 
     The tries at those that have ended are asked for elsewhere (``inquiries``).
@@ -302,23 +304,23 @@
     state.last_scan = now
     effects: list[Effect] = []
     for executor in list(state.in_flight):
-        if _is_lost(state, executor, now):
-            effects += give_up(state, executor, now)
+        if _is_unreachable(state, executor, now):
+            effects += fail_attempts(state, executor, now)
         elif not state.takeover.has_ended(executor):
-            effects += _ask_overdue(state, executor, now)
+            effects += _query_overdue(state, executor, now)
         if not state.in_flight[executor]:
             del state.in_flight[executor]
     return effects
 
 
-def _is_lost(state: HomeState, executor: str, now: datetime) -> bool:
+def _is_unreachable(state: HomeState, executor: str, now: datetime) -> bool:
     if state.takeover.has_ended(executor):
         return False
     silent = state.silent_since.get(executor)
     return silent is not None and now - silent >= state.policy.unreachable_after
 
 
-def give_up(
+def fail_attempts(
     state: HomeState, executor: str, now: datetime, partition: int | None = None
 ) -> list[Effect]:
     """Count every try at a lost executor as unknown and end its job.
@@ -334,7 +336,7 @@
         if partition not in (None, placed.job.partition):
             continue
         del state.in_flight[executor][attempt]
-        note_outcome(
+        record_outcome(
             state.placement,
             executor,
             Outcome.UNKNOWN,
@@ -349,25 +351,25 @@
         slot.state = SlotState.UNKNOWN
         effects.append(Count(RetryReason.SILENT_EXECUTOR))
         if job.is_ending:
-            effects += note_ending_progress(state, job, now)
+            effects += finish_if_settled(state, job, now)
         else:
             effects += begin_ending(state, job, ErrorKind.WORKER_LOST, now)
     return effects
 
 
-def _ask_overdue(state: HomeState, executor: str, now: datetime) -> list[Effect]:
+def _query_overdue(state: HomeState, executor: str, now: datetime) -> list[Effect]:
     effects: list[Effect] = []
     for attempt, placed in list(state.in_flight[executor].items()):
         job, slot = placed.job, placed.job.slots[placed.task]
-        if now - slot.asked < ASK_AFTER:
+        if now - slot.asked_at < ATTEMPT_QUERY_DELAY:
             continue
-        slot.asked = now
+        slot.asked_at = now
         job.messages += 1
         effects.append(Send(executor, AskAttempt(attempt, job.partition)))
     return effects
 
 
-def release(state: HomeState, job: Job, now: datetime) -> None:
+def stop_tracking(state: HomeState, job: Job, now: datetime) -> None:
     """Stop counting the tries of a job that another home follows from now on.
 
     Their outcomes go there. Counted here for ever they would fill the executors' slots
@@ -376,12 +378,12 @@
     for slot in job.slots:
         tries = state.in_flight.get(slot.executor, {})
         if tries.pop(slot.attempt, None) is not None:
-            _count_as_gone(state, slot.executor, now)
+            _record_gone(state, slot.executor, now)
 
 
-def _count_as_gone(state: HomeState, executor: str, now: datetime) -> None:
+def _record_gone(state: HomeState, executor: str, now: datetime) -> None:
     reason = RetryReason.CONNECTION_LOST.value
-    note_outcome(state.placement, executor, Outcome.NOT_RUN, reason, None, None, now)
+    record_outcome(state.placement, executor, Outcome.NOT_RUN, reason, None, None, now)
 
 
 def expire_deadlines(state: HomeState, now: datetime) -> list[Effect]:
--- a/gypsumspoke/core/ejection.py
+++ b/gypsumspoke/core/ejection.py
@@ -9,7 +9,7 @@
 
 from gypsumspoke.core.counters import RetryReason
 from gypsumspoke.core.placement_state import (
-    FIRST_PROBE,
+    MIN_PROBE_INTERVAL,
     SMOOTHING,
     ExecutorView,
     PlacementState,
@@ -22,9 +22,9 @@
 _FAILURE_SMOOTHING = 0.3
 _EJECT_ABOVE = 0.6
 _REINSTATE_BELOW = 0.3
-_EJECT_RELATIVE = 2.0
-_MOST_EJECTED_SHARE = 1 / 3
-_LAST_PROBE = 60.0
+_EJECT_RATIO = 2.0
+_MAX_EJECTED_SHARE = 1 / 3
+_MAX_PROBE_INTERVAL = 60.0
 _PROBE_GROWTH = 3.0
 _BROKEN_UPSTREAM = frozenset(
     {
@@ -34,14 +34,14 @@
 )
 
 
-def tells_of_health(outcome: Outcome, reason: str) -> bool:
+def indicates_worker_health(outcome: Outcome, reason: str) -> bool:
     """Tell whether an outcome speaks of the worker rather than of load or callers."""
     if outcome is Outcome.NOT_RUN:
         return reason in _BROKEN_UPSTREAM
     return True
 
 
-def learn_health(
+def update_health(
     state: PlacementState, executor: ExecutorView, failed: bool, now: float
 ) -> None:
     """Update failure rates; eject or reinstate."""
@@ -51,11 +51,11 @@
     )
     pool.failure_rate = smooth(pool.failure_rate, float(failed), SMOOTHING)
     if executor.ejected:
-        _judge_probe(state, executor, failed, now)
+        _handle_probe_result(state, executor, failed, now)
     elif failed and _is_outlier(state, executor, pool):
         executor.ejected = True
         pool.ejected += 1
-        executor.probe_pause = FIRST_PROBE
+        executor.probe_interval = MIN_PROBE_INTERVAL
         schedule_probe(state, executor, now)
 
 
@@ -71,9 +71,9 @@
         return False
     if executor.failure_rate < _EJECT_ABOVE:
         return False
-    if executor.failure_rate < _EJECT_RELATIVE * _others_rate(state, executor, pool):
+    if executor.failure_rate < _EJECT_RATIO * _others_rate(state, executor, pool):
         return False
-    return pool.ejected + 1 <= max(1, len(pool.known) * _MOST_EJECTED_SHARE)
+    return pool.ejected + 1 <= max(1, len(pool.registered) * _MAX_EJECTED_SHARE)
 
 
 def _others_rate(
@@ -82,31 +82,33 @@
     """Return the mean failure rate of the service's other executors."""
     others = [
         state.executors[incarnation].failure_rate
-        for incarnation in pool.known
+        for incarnation in pool.registered
         if incarnation != executor.member.incarnation
     ]
     return sum(others) / len(others) if others else 0.0
 
 
-def _judge_probe(
+def _handle_probe_result(
     state: PlacementState, executor: ExecutorView, failed: bool, now: float
 ) -> None:
     """Space probes out while they fail; reinstate after a few good ones."""
     pool = service_pool(state, executor.member.service)
     if failed:
-        executor.probe_pause = min(_LAST_PROBE, _PROBE_GROWTH * executor.probe_pause)
+        executor.probe_interval = min(
+            _MAX_PROBE_INTERVAL, _PROBE_GROWTH * executor.probe_interval
+        )
         schedule_probe(state, executor, now)
     elif executor.failure_rate < _REINSTATE_BELOW:
         executor.ejected = False
         pool.ejected -= 1
     else:
-        executor.probe_pause = FIRST_PROBE
+        executor.probe_interval = MIN_PROBE_INTERVAL
         schedule_probe(state, executor, now)
 
 
 def schedule_probe(state: PlacementState, executor: ExecutorView, now: float) -> None:
     """Allow one task there after the pause; an earlier allowance lapses."""
-    executor.probe_at = now + executor.probe_pause
+    executor.probe_at = now + executor.probe_interval
     pool = service_pool(state, executor.member.service)
     heapq.heappush(pool.probes, (executor.probe_at, executor.member.incarnation))
 
--- a/gypsumspoke/core/endings.py
+++ b/gypsumspoke/core/endings.py
@@ -22,7 +22,7 @@
     reply,
 )
 from gypsumspoke.core.jobs import (
-    ANSWER_BYTES,
+    MAX_ANSWER_BYTES,
     Job,
     SlotState,
     Waiter,
@@ -31,7 +31,7 @@
     outcomes,
 )
 from gypsumspoke.core.ledger import (
-    REFUSED_LIMIT,
+    MAX_REFUSALS,
     floor_birth,
     needs_new_generation,
     next_attempt,
@@ -46,9 +46,9 @@
     Submission,
 )
 
-CONFIRM_LIMIT = timedelta(milliseconds=500)
-CONFIRM_TRIES = 2
-ENDING_LIMIT = timedelta(milliseconds=300)
+CONFIRMATION_TIMEOUT = timedelta(milliseconds=500)
+MAX_CONFIRMATION_ATTEMPTS = 2
+ENDING_TIMEOUT = timedelta(milliseconds=300)
 
 
 def refuse(
@@ -81,7 +81,7 @@
         refused = max(refused, known.submission_attempt)
     record = RefusedRecord(key, submission.birth, refused, kind)
     state.ledger.keep_refused(partition, record)
-    _bound_refusals(state, ownership, refused, now)
+    _raise_floor_if_full(state, ownership, refused, now)
     if retry_after is None:
         retry_after = ANSWER_RULES[kind].retry_after
     answer = Answer(
@@ -91,7 +91,7 @@
         retry_after=retry_after,
         detail=detail,
     )
-    return _confirm_refusal(state, ownership, Refusal(waiter, key, answer))
+    return _queue_refusal(state, ownership, Refusal(waiter, key, answer))
 
 
 def refuse_below_floor(
@@ -108,14 +108,14 @@
         next_attempt=ownership.floor.attempt,
         retry_after=ANSWER_RULES[kind].retry_after,
     )
-    return _confirm_refusal(state, ownership, Refusal(waiter, submission.key, answer))
+    return _queue_refusal(state, ownership, Refusal(waiter, submission.key, answer))
 
 
-def _bound_refusals(
+def _raise_floor_if_full(
     state: HomeState, ownership: Ownership, refused: int, now: datetime
 ) -> None:
     """Let the floor stand for the refusals when their table is full."""
-    full = state.ledger.refused_count(ownership.partition) >= REFUSED_LIMIT
+    full = state.ledger.refused_count(ownership.partition) >= MAX_REFUSALS
     if not full and not needs_new_generation(refused, ownership.floor):
         return
     born_before = floor_birth(now, state.policy.clock_skew)
@@ -127,33 +127,33 @@
 # Confirmations
 
 
-def _unsent(state: HomeState, ownership: Ownership) -> Confirmation:
+def _unsent_confirmation(state: HomeState, ownership: Ownership) -> Confirmation:
     partition = ownership.partition
-    confirmation = state.unsent.get(partition)
+    confirmation = state.unsent_confirmations.get(partition)
     if confirmation is None or confirmation.epoch != ownership.epoch:
         confirmation = Confirmation(partition, ownership.epoch)
-        state.unsent[partition] = confirmation
+        state.unsent_confirmations[partition] = confirmation
     return confirmation
 
 
-def _confirm_refusal(
+def _queue_refusal(
     state: HomeState, ownership: Ownership, refusal: Refusal
 ) -> list[Effect]:
-    _unsent(state, ownership).refusals.append(refusal)
+    _unsent_confirmation(state, ownership).refusals.append(refusal)
     return []
 
 
 def send_confirmations(state: HomeState, now: datetime) -> list[Effect]:
     """Send what gathered, one question at a time for each partition."""
     effects: list[Effect] = []
-    for partition in list(state.unsent):
+    for partition in list(state.unsent_confirmations):
         if partition not in state.confirmations:
-            confirmation = state.unsent.pop(partition)
-            effects += _ask_next(state, confirmation, now)
+            confirmation = state.unsent_confirmations.pop(partition)
+            effects += _send_to_next(state, confirmation, now)
     return effects
 
 
-def _ask_next(
+def _send_to_next(
     state: HomeState, confirmation: Confirmation, now: datetime
 ) -> list[Effect]:
     """Ask an executor that was not asked yet, or give up."""
@@ -163,9 +163,9 @@
         for name in state.takeover.available_peers()
         if name not in confirmation.asked
     ]
-    if not others or len(confirmation.asked) >= CONFIRM_TRIES:
+    if not others or len(confirmation.asked) >= MAX_CONFIRMATION_ATTEMPTS:
         state.confirmations.pop(partition, None)
-        return _settle(state, confirmation, confirmed=False, now=now)
+        return _resolve_confirmation(state, confirmation, confirmed=False, now=now)
     state.confirmation_number += 1
     number = state.confirmation_number
     executor = others[number % len(others)]
@@ -188,16 +188,18 @@
     )
 
 
-def confirmed(state: HomeState, message: CloseAck, now: datetime) -> list[Effect]:
+def handle_close_ack(
+    state: HomeState, message: CloseAck, now: datetime
+) -> list[Effect]:
     """Say what waited for this confirmation."""
     number, confirmation = state.confirmations.get(message.partition, (0, None))
     if confirmation is None or number != message.confirmation:
         return []
     del state.confirmations[message.partition]
-    return _settle(state, confirmation, confirmed=True, now=now)
+    return _resolve_confirmation(state, confirmation, confirmed=True, now=now)
 
 
-def _settle(
+def _resolve_confirmation(
     state: HomeState, confirmation: Confirmation, confirmed: bool, now: datetime
 ) -> list[Effect]:
     effects: list[Effect] = []
@@ -212,7 +214,7 @@
         if not job.dropped:
             job.confirmed = confirmed
             job.ending_since = job.ending_since or now
-            effects += _end_if_known(state, job, now, waited=not confirmed)
+            effects += _finish_if_due(state, job, now, waited=not confirmed)
     return effects
 
 
@@ -239,30 +241,30 @@
             effects.append(Send(slot.executor, CancelTask(slot.attempt, job.partition)))
             job.messages += 1
     ownership = state.takeover.owned[job.partition]
-    _unsent(state, ownership).jobs.append(job)
+    _unsent_confirmation(state, ownership).jobs.append(job)
     return effects
 
 
-def note_ending_progress(state: HomeState, job: Job, now: datetime) -> list[Effect]:
+def finish_if_settled(state: HomeState, job: Job, now: datetime) -> list[Effect]:
     """End a job whose last open task was heard of."""
-    return _end_if_known(state, job, now, waited=False)
+    return _finish_if_due(state, job, now, waited=False)
 
 
-def _end_if_known(
+def _finish_if_due(
     state: HomeState, job: Job, now: datetime, waited: bool
 ) -> list[Effect]:
     if not waited and (not job.confirmed or job.has_open_slots):
         return []
-    return _end(state, job, now)
+    return _finish(state, job, now)
 
 
-def _end(state: HomeState, job: Job, now: datetime) -> list[Effect]:
+def _finish(state: HomeState, job: Job, now: datetime) -> list[Effect]:
     """Give the final answer of a job that was given up on."""
     answer = failed_answer(job, job.confirmed)
     submission = job.submission
     state.remove_job(job)
     job.dropped = True
-    effects = _end_metrics(job, now)
+    effects = _job_metrics(job, now)
     if answer.kind is not None:
         effects.append(Count(answer.kind))
     if answer.work is Work.NOT_RUN:
@@ -271,11 +273,11 @@
         )
         ownership = state.takeover.owned[job.partition]
         state.ledger.keep_refused(job.partition, record)
-        _bound_refusals(state, ownership, submission.attempt, now)
+        _raise_floor_if_full(state, ownership, submission.attempt, now)
         number = next_attempt(submission.attempt, ownership.floor)
         answer = answer._replace(next_attempt=number)
     else:
-        _keep(state, job, answer)
+        _record_finished(state, job, answer)
     effects.append(
         Log(
             logging.INFO,
@@ -285,10 +287,10 @@
             fields=(("kind", answer.kind.value), ("work", answer.work.value)),
         )
     )
-    return effects + _tell_waiters(job, answer)
+    return effects + _answer_waiters(job, answer)
 
 
-def complete(state: HomeState, job: Job, now: datetime) -> list[Effect]:
+def complete_job(state: HomeState, job: Job, now: datetime) -> list[Effect]:
     """Give the answer of a job whose tasks are all done.
 
     Results that fit no frame would leave the caller without any answer until its
@@ -299,26 +301,26 @@
     answer = complete_answer(job)
     state.remove_job(job)
     job.dropped = True
-    _keep(state, job, answer)
-    effects = [Count(Counter.JOB_COMPLETE), *_end_metrics(job, now)]
-    response = now - job.accepted
+    _record_finished(state, job, answer)
+    effects = [Count(Counter.JOB_COMPLETE), *_job_metrics(job, now)]
+    response = now - job.accepted_at
     team = job.submission.key.team
     effects.append(Observe("response_seconds", response.total_seconds(), team))
     if job.longest_run:
         ratio = response / job.longest_run
         effects.append(Observe("response_over_ideal", ratio, team))
-    return effects + _tell_waiters(job, answer)
+    return effects + _answer_waiters(job, answer)
 
 
 def _complete_too_large(state: HomeState, job: Job, now: datetime) -> list[Effect]:
     """Answer that the job ran and its results can't be handed over."""
-    detail = f"the results total {job.result_bytes} bytes, over {ANSWER_BYTES}"
+    detail = f"the results total {job.result_bytes} bytes, over {MAX_ANSWER_BYTES}"
     answer = Answer(
         ErrorKind.RESULT_LOST, Work.RAN, outcomes=outcomes(job), detail=detail
     )
     state.remove_job(job)
     job.dropped = True
-    _keep(state, job, answer)
+    _record_finished(state, job, answer)
     log = Log(
         logging.WARNING,
         "results too large",
@@ -326,11 +328,11 @@
         attempt=job.submission.attempt,
         fields=(("bytes", job.result_bytes),),
     )
-    effects = [Count(ErrorKind.RESULT_LOST), log, *_end_metrics(job, now)]
-    return effects + _tell_waiters(job, answer)
+    effects = [Count(ErrorKind.RESULT_LOST), log, *_job_metrics(job, now)]
+    return effects + _answer_waiters(job, answer)
 
 
-def _keep(state: HomeState, job: Job, answer: Answer) -> None:
+def _record_finished(state: HomeState, job: Job, answer: Answer) -> None:
     submission = job.submission
     record = FinishedRecord(
         submission.key,
@@ -342,7 +344,7 @@
     state.ledger.keep_finished(job.partition, record)
 
 
-def _end_metrics(job: Job, now: datetime) -> list[Effect]:
+def _job_metrics(job: Job, now: datetime) -> list[Effect]:
     per_task = job.messages / len(job.slots)
     return [
         Observe("messages_per_task", per_task, job.submission.key.team),
@@ -353,7 +355,7 @@
     ]
 
 
-def _tell_waiters(job: Job, answer: Answer) -> list[Effect]:
+def _answer_waiters(job: Job, answer: Answer) -> list[Effect]:
     key = job.submission.key
     return [reply(waiter, key, answer) for waiter in job.waiters]
 
@@ -362,12 +364,12 @@
     """Ask another executor, or end without confirmation, when time is up."""
     effects: list[Effect] = []
     for _, confirmation in list(state.confirmations.values()):
-        if confirmation.sent is None or now - confirmation.sent >= CONFIRM_LIMIT:
-            effects += _ask_next(state, confirmation, now)
+        if confirmation.sent is None or now - confirmation.sent >= CONFIRMATION_TIMEOUT:
+            effects += _send_to_next(state, confirmation, now)
     for job in state.all_jobs():
         since = job.ending_since
         if since is None or not job.confirmed:
             continue
-        if now - since >= ENDING_LIMIT:
-            effects += _end_if_known(state, job, now, waited=True)
+        if now - since >= ENDING_TIMEOUT:
+            effects += _finish_if_due(state, job, now, waited=True)
     return effects
--- a/gypsumspoke/core/entry.py
+++ b/gypsumspoke/core/entry.py
@@ -15,14 +15,6 @@
 
 from gypsumspoke.core import quota
 from gypsumspoke.core.admission import entry_refusal, submission_refusal
-from gypsumspoke.core.copies import (
-    give_up,
-    look_after,
-    lose_home,
-    pass_on,
-    pass_on_held,
-    take_answer,
-)
 from gypsumspoke.core.counters import Counter, RetryReason
 from gypsumspoke.core.effects import Count, Deliver, Effect, Send
 from gypsumspoke.core.entry_state import EntryState, PendingRequest
@@ -38,6 +30,14 @@
     Received,
     Tick,
 )
+from gypsumspoke.core.forwarding import (
+    fail_request,
+    forward,
+    forward_held,
+    handle_answer,
+    handle_home_lost,
+    resend_or_expire,
+)
 from gypsumspoke.core.messages import (
     CancelJob,
     JobAnswer,
@@ -135,7 +135,7 @@
     """Answer every waiting request because the process stops before they end."""
     effects: list[Effect] = []
     for request in list(state.waiting):
-        effects += give_up(state, request, now, "the entry stops")
+        effects += fail_request(state, request, now, "the entry stops")
     return effects
 
 
@@ -203,7 +203,7 @@
 ) -> list[Effect]:
     state.waiting[request] = waiting
     state.waiting_bytes += waiting.size
-    return pass_on(state, waiting, now)
+    return forward(state, waiting, now)
 
 
 def _refuse(request: str, answer: Answer) -> list[Effect]:
@@ -222,7 +222,9 @@
     effects: list[Effect] = []
     for waiting in list(state.waiting.values()):
         if waiting.home == event.incarnation:
-            effects += lose_home(state, waiting, RetryReason.CONNECTION_LOST, now)
+            effects += handle_home_lost(
+                state, waiting, RetryReason.CONNECTION_LOST, now
+            )
     return effects
 
 
@@ -231,7 +233,7 @@
     event: PeerConnected, state: EntryState, now: datetime
 ) -> list[Effect]:
     state.reachable |= {event.incarnation}
-    return pass_on_held(state, now)
+    return forward_held(state, now)
 
 
 @_on.register
@@ -242,8 +244,8 @@
     effects: list[Effect] = []
     for waiting in list(state.waiting.values()):
         if waiting.home and waiting.home not in state.reachable:
-            effects += lose_home(state, waiting, RetryReason.SILENT_HOME, now)
-    return effects + pass_on_held(state, now)
+            effects += handle_home_lost(state, waiting, RetryReason.SILENT_HOME, now)
+    return effects + forward_held(state, now)
 
 
 @_on.register
@@ -262,7 +264,7 @@
         if partition not in moved:
             continue
         if waiting.home != state.partitions[partition].owner:
-            effects += lose_home(state, waiting, RetryReason.HOME_MOVED, now)
+            effects += handle_home_lost(state, waiting, RetryReason.HOME_MOVED, now)
     return effects
 
 
@@ -312,7 +314,7 @@
 def _on_usage(
     message: TeamUsage, state: EntryState, sender: str, now: datetime
 ) -> list[Effect]:
-    quota.note_report(state.quota, message, now)
+    quota.handle_report(state.quota, message, now)
     return []
 
 
@@ -329,7 +331,7 @@
         # A former home no longer speaks for the key unless the job is complete; the
         # copy is with the next home already.
         return [Count(Counter.LATE_ANSWER_DROPPED)]
-    return take_answer(state, waiting, message.answer, now)
+    return handle_answer(state, waiting, message.answer, now)
 
 
 # ---------------------------------------------------------------------------
@@ -340,7 +342,7 @@
 def _on_tick(event: Tick, state: EntryState, now: datetime) -> list[Effect]:
     effects = _report_usage(state, now)
     for request, waiting in list(state.waiting.items()):
-        effects += look_after(state, request, waiting, now)
+        effects += resend_or_expire(state, request, waiting, now)
     return effects
 
 
--- a/gypsumspoke/core/fair_queue.py
+++ b/gypsumspoke/core/fair_queue.py
@@ -11,8 +11,8 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-_LEAST_WEIGHT = 1e-6
-_LEAST_COST = 1e-6
+_MIN_WEIGHT = 1e-6
+_MIN_COST = 1e-6
 
 
 class _Entry(NamedTuple):
@@ -53,13 +53,13 @@
       item: anything.
     """
     start = max(queue._virtual_time, queue._finish_tags.get(team, 0.0))
-    share = max(weight, _LEAST_WEIGHT)
-    queue._finish_tags[team] = start + max(cost, _LEAST_COST) / share
+    share = max(weight, _MIN_WEIGHT)
+    queue._finish_tags[team] = start + max(cost, _MIN_COST) / share
     heapq.heappush(queue._heap, _Entry(start, queue._pushed, team, item))
     queue._pushed += 1
 
 
-def push_again(queue: FairQueue, team: str, item: Any) -> None:
+def requeue(queue: FairQueue, team: str, item: Any) -> None:
     """Put an item back that was refused after its turn; O(log n).
 
     It has paid and waited already, so it goes next and its team is not charged again.
@@ -76,7 +76,7 @@
     entry = heapq.heappop(queue._heap)
     queue._virtual_time = entry.start_tag
     if not queue._heap:
-        _forget_tags(queue)
+        _reset_tags(queue)
     return entry.item
 
 
@@ -104,7 +104,7 @@
     heapq.heapify(kept)
     queue._heap = kept
     if not kept:
-        _forget_tags(queue)
+        _reset_tags(queue)
     return [entry.item for entry in sorted(removed, key=_order)]
 
 
@@ -112,7 +112,7 @@
     return entry.start_tag, entry.number
 
 
-def _forget_tags(queue: FairQueue) -> None:
+def _reset_tags(queue: FairQueue) -> None:
     """Start anew when nothing waits.
 
     Without this, tags of teams that left would stay for ever, and a team whose burst
--- a/gypsumspoke/core/copies.py
+++ b/gypsumspoke/core/forwarding.py
@@ -16,11 +16,11 @@
 from gypsumspoke.core.refusals import refusal_answer
 from gypsumspoke.core.values import Answer
 
-SEND_AGAIN_AFTER = timedelta(milliseconds=200)
-TURNED_AWAY_PATIENCE = timedelta(seconds=2)
+RESEND_DELAY = timedelta(milliseconds=200)
+NOT_SERVED_TIMEOUT = timedelta(seconds=2)
 # Silence is noticed, the partition taken over and all executors fenced within this
 # time beyond ``takeover_after``; waiting longer for a home helps nobody.
-TAKEOVER_TAKES = timedelta(seconds=4)
+MAX_TAKEOVER_TIME = timedelta(seconds=4)
 # The home answers at the deadline too, and knows what became of each task.
 DEADLINE_GRACE = timedelta(milliseconds=300)
 
@@ -39,7 +39,7 @@
     return row.owner
 
 
-def pass_on(state: EntryState, waiting: PendingRequest, now: datetime) -> list[Effect]:
+def forward(state: EntryState, waiting: PendingRequest, now: datetime) -> list[Effect]:
     """Send the copy to the current owner, or hold it until there is one.
 
     A copy is sent only over a connection that is known to be up. So a copy that was
@@ -61,44 +61,44 @@
     return effects
 
 
-def lose_home(
+def handle_home_lost(
     state: EntryState, waiting: PendingRequest, reason: RetryReason, now: datetime
 ) -> list[Effect]:
     """The home can't answer any more; go on with whoever owns the partition now."""
     waiting.reason = reason
     waiting.not_served_since = None
-    return pass_on(state, waiting, now)
+    return forward(state, waiting, now)
 
 
-def pass_on_held(state: EntryState, now: datetime) -> list[Effect]:
+def forward_held(state: EntryState, now: datetime) -> list[Effect]:
     """Send the copies that wait for a home that can be reached."""
     effects: list[Effect] = []
     for waiting in list(state.waiting.values()):
         if not waiting.home:
-            effects += pass_on(state, waiting, now)
+            effects += forward(state, waiting, now)
     return effects
 
 
-def take_answer(
+def handle_answer(
     state: EntryState, waiting: PendingRequest, answer: Answer, now: datetime
 ) -> list[Effect]:
     """Hand an answer of the home to the caller, or try again if it claims nothing."""
     if answer.kind in _NOT_SERVED:
-        return _turned_away(state, waiting, answer, now)
+        return _handle_not_served(state, waiting, answer, now)
     return _deliver(state, waiting.message.request, answer, now)
 
 
-def _turned_away(
+def _handle_not_served(
     state: EntryState, waiting: PendingRequest, answer: Answer, now: datetime
 ) -> list[Effect]:
     """Try again soon: the home is not the owner, or not yet."""
     waiting.last_refusal = answer
     waiting.not_served_since = waiting.not_served_since or now
-    if now - waiting.not_served_since >= TURNED_AWAY_PATIENCE:
-        return give_up(state, waiting.message.request, now, "the partition moves")
+    if now - waiting.not_served_since >= NOT_SERVED_TIMEOUT:
+        return fail_request(state, waiting.message.request, now, "the partition moves")
     waiting.reason = _NOT_SERVED[answer.kind]
     spread = 0.5 + state.random.random()
-    waiting.resend_at = now + SEND_AGAIN_AFTER * spread
+    waiting.resend_at = now + RESEND_DELAY * spread
     if answer.kind is ErrorKind.NOT_OWNER:
         return [Local(ViewOutdated())]
     return []
@@ -120,12 +120,12 @@
     return effects
 
 
-def give_up(
+def fail_request(
     state: EntryState, request: str, now: datetime, detail: str
 ) -> list[Effect]:
     """Answer for a home that doesn't; claim no more than whether the copy was sent."""
     waiting = state.waiting[request]
-    answer = _given_up_answer(waiting, detail)
+    answer = _failure_answer(waiting, detail)
     log = Log(
         logging.WARNING,
         "request given up",
@@ -135,7 +135,7 @@
     return [log, *_deliver(state, request, answer, now)]
 
 
-def _given_up_answer(waiting: PendingRequest, detail: str) -> Answer:
+def _failure_answer(waiting: PendingRequest, detail: str) -> Answer:
     if not waiting.was_sent:
         return refusal_answer(ErrorKind.HOME_UNREACHABLE, detail)
     last = waiting.last_refusal
@@ -144,17 +144,17 @@
     return refusal_answer(ErrorKind.HOME_SILENT, detail)
 
 
-def look_after(
+def resend_or_expire(
     state: EntryState, request: str, waiting: PendingRequest, now: datetime
 ) -> list[Effect]:
     """Send a copy again when that is due; end its wait when patience or time ends."""
     grace = DEADLINE_GRACE if waiting.home else timedelta(0)
     if now >= waiting.deadline + grace:
-        return give_up(state, request, now, "the deadline passed")
+        return fail_request(state, request, now, "the deadline passed")
     without_home = waiting.without_home_since
-    patience = state.policy.takeover_after + TAKEOVER_TAKES
+    patience = state.policy.takeover_after + MAX_TAKEOVER_TIME
     if without_home is not None and now - without_home >= patience:
-        return give_up(state, request, now, "no home could be reached")
+        return fail_request(state, request, now, "no home could be reached")
     if waiting.resend_at is not None and now >= waiting.resend_at:
-        return pass_on(state, waiting, now)
+        return forward(state, waiting, now)
     return []
--- a/gypsumspoke/core/home.py
+++ b/gypsumspoke/core/home.py
@@ -54,14 +54,14 @@
 )
 from gypsumspoke.core.ownership import HandoffDue, PartitionLost, PartitionServed
 from gypsumspoke.core.placement import (
-    note_load,
     set_members,
     set_policy,
+    update_load,
 )
 from gypsumspoke.core.takeover_state import REQUEST_PREFIX, pop_notices
 from gypsumspoke.core.values import Member
 
-DRAIN_LIMIT = timedelta(seconds=10)
+DRAIN_TIMEOUT = timedelta(seconds=10)
 
 
 def new_home(member: Member, partition_count: int, seed: int) -> HomeState:
@@ -87,7 +87,7 @@
       What the shell must do, in order.
     """
     effects = _on(event, state, now)
-    effects += _act_on_notices(state, now)
+    effects += _handle_notices(state, now)
     effects += dispatch.place_waiting(state, now)
     effects += endings.send_confirmations(state, now)
     return effects
@@ -99,7 +99,7 @@
         return False
     if not state.takeover.owned:
         return True
-    return not state.job_count and now - state.draining_since >= DRAIN_LIMIT
+    return not state.job_count and now - state.draining_since >= DRAIN_TIMEOUT
 
 
 def set_clock_is_off(state: HomeState, is_off: bool) -> None:
@@ -151,7 +151,7 @@
 def _(
     message: TaskOutcome, sender: str, state: HomeState, now: datetime
 ) -> list[Effect]:
-    effects = dispatch.task_outcome(state, message, sender, now)
+    effects = dispatch.handle_task_outcome(state, message, sender, now)
     if message.reason == RetryReason.STALE_EPOCH.value:
         fences.handle_stale_epoch(state.takeover, message.attempt)
     return effects
@@ -161,12 +161,12 @@
 def _(
     message: TaskRunning, sender: str, state: HomeState, now: datetime
 ) -> list[Effect]:
-    return dispatch.task_running(state, message, sender, now)
+    return dispatch.handle_task_running(state, message, sender, now)
 
 
 @_on_message.register
 def _(message: CloseAck, sender: str, state: HomeState, now: datetime) -> list[Effect]:
-    return endings.confirmed(state, message, now)
+    return endings.handle_close_ack(state, message, now)
 
 
 @_on_message.register
@@ -194,7 +194,7 @@
 def _(message: Heartbeat, sender: str, state: HomeState, now: datetime) -> list[Effect]:
     takeover_state.record_leaving(state.takeover, sender, message.leaving)
     if message.load is not None:
-        note_load(state.placement, sender, message.load, now)
+        update_load(state.placement, sender, message.load, now)
     return []
 
 
@@ -234,20 +234,20 @@
     return []
 
 
-def _act_on_notices(state: HomeState, now: datetime) -> list[Effect]:
+def _handle_notices(state: HomeState, now: datetime) -> list[Effect]:
     effects: list[Effect] = []
     while notices := pop_notices(state.takeover):
         for notice in notices:
-            effects += _act(notice, state, now)
+            effects += _handle_notice(notice, state, now)
     return effects
 
 
 @singledispatch
-def _act(notice: object, state: HomeState, now: datetime) -> list[Effect]:
+def _handle_notice(notice: object, state: HomeState, now: datetime) -> list[Effect]:
     raise TypeError(f"no action for {notice!r}")
 
 
-@_act.register
+@_handle_notice.register
 def _(notice: PartitionServed, state: HomeState, now: datetime) -> list[Effect]:
     effects: list[Effect] = []
     for parked in adoption.begin_serving(state, notice):
@@ -255,12 +255,12 @@
     return effects
 
 
-@_act.register
+@_handle_notice.register
 def _(notice: PartitionLost, state: HomeState, now: datetime) -> list[Effect]:
     return adoption.drop_partition(state, notice, now)
 
 
-@_act.register
+@_handle_notice.register
 def _(notice: HandoffDue, state: HomeState, now: datetime) -> list[Effect]:
     return adoption.hand_over(state, notice, now)
 
@@ -279,9 +279,9 @@
     effects = takeover.set_members(state.takeover, event.members, now)
     _update_placement(state)
     # A takeover may have ended with this event; what it learned must be told too.
-    effects += _act_on_notices(state, now)
+    effects += _handle_notices(state, now)
     for incarnation in lost:
-        effects += inquiries.executor_ended(state, incarnation, now)
+        effects += inquiries.handle_executor_ended(state, incarnation, now)
     return effects
 
 
@@ -325,7 +325,7 @@
     if event.incarnation not in state.lost_peers:
         return []
     state.lost_peers.discard(event.incarnation)
-    return dispatch.ask_again(state, event.incarnation, now)
+    return dispatch.query_attempts(state, event.incarnation, now)
 
 
 @_on.register
@@ -353,7 +353,7 @@
     effects += endings.tick(state, now)
     effects += dispatch.expire_deadlines(state, now)
     effects += inquiries.tick(state, now)
-    effects += dispatch.scan(state, now)
+    effects += dispatch.check_silent_executors(state, now)
     effects += intake.expire_parked(state, now)
     effects += adoption.resend_lost_records(state, now)
     adoption.expire(state, now)
--- a/gypsumspoke/core/home_state.py
+++ b/gypsumspoke/core/home_state.py
@@ -31,7 +31,7 @@
 Request = SubmitJob | QueryJob | CancelJob
 
 
-class Parked(NamedTuple):
+class ParkedRequest(NamedTuple):
     """A request that waits until its partition is served."""
 
     sender: str
@@ -66,14 +66,14 @@
         self.jobs: list[Job] = []
 
 
-class Placed(NamedTuple):
+class PlacedAttempt(NamedTuple):
     """Where a try that is in flight belongs."""
 
     job: Job
     task: int
 
 
-class Retelling(NamedTuple):
+class RecordTransfer(NamedTuple):
     """Records of a lost executor that are being given to another one."""
 
     lost: str
@@ -88,7 +88,8 @@
       partition: where it may have started tasks.
       epoch: under which the partition is served here.
       asked: incarnations whose answers are awaited.
-      retells: whether what is known here of the ended one is told on afterwards.
+      transfers_records: whether the ended executor's records known here are sent to
+        another executor afterwards.
       now: the current time.
     """
 
@@ -98,14 +99,14 @@
         partition: int,
         epoch: int,
         asked: set[str],
-        retells: bool,
+        transfers_records: bool,
         now: datetime,
     ) -> None:
         self.lost = lost
         self.partition = partition
         self.epoch = epoch
         self.asked = asked
-        self.retells = retells
+        self.transfers_records = transfers_records
         self.since = now
         self.parts: dict[str, list[FenceAck]] = {}
         self.heard: list[FenceAck] = []
@@ -128,7 +129,7 @@
         self.jobs: dict[int, dict[JobKey, Job]] = {}
         self.job_count = 0
         self.adopted: dict[int, dict[JobKey, AdoptedJob]] = {}
-        self.parked: dict[int, list[Parked]] = {}
+        self.parked: dict[int, list[ParkedRequest]] = {}
         self.placement: PlacementState = new_placement(seed)
         self.queues: dict[str, FairQueue] = {}
         self.team_weights: dict[str, float] = {}
@@ -136,15 +137,15 @@
         self.queued = 0
         self.retry_tokens = 0.0
         self.placement_number = 0
-        self.in_flight: dict[str, dict[AttemptId, Placed]] = {}
+        self.in_flight: dict[str, dict[AttemptId, PlacedAttempt]] = {}
         self.lost_peers: set[str] = set()
         self.silent_since: dict[str, datetime] = {}
         self.deadlines: list[tuple[datetime, int, JobKey]] = []
-        self.unsent: dict[int, Confirmation] = {}
+        self.unsent_confirmations: dict[int, Confirmation] = {}
         self.confirmations: dict[int, tuple[int, Confirmation]] = {}
         self.confirmation_number = 0
         self.inquiries: dict[tuple[int, str], Inquiry] = {}
-        self.retellings: dict[tuple[int, str], Retelling] = {}
+        self.record_transfers: dict[tuple[int, str], RecordTransfer] = {}
         self.reachable: frozenset[str] = frozenset()
         self.clock_is_off = False
         self.draining_since: datetime | None = None
--- a/gypsumspoke/core/inquiries.py
+++ b/gypsumspoke/core/inquiries.py
@@ -18,7 +18,7 @@
 from gypsumspoke.core.counters import Counter, RetryReason
 from gypsumspoke.core.effects import Count, Effect, Log, Send
 from gypsumspoke.core.fences import complete_ack
-from gypsumspoke.core.home_state import HomeState, Inquiry, Placed
+from gypsumspoke.core.home_state import HomeState, Inquiry, PlacedAttempt
 from gypsumspoke.core.messages import Fence, FenceAck, TaskOutcome
 from gypsumspoke.core.start_records import supersedes
 from gypsumspoke.core.values import (
@@ -29,14 +29,14 @@
     TaskState,
 )
 
-_NOTHING_FREE = Load(0, 0, 0, None)
+_EMPTY_LOAD = Load(0, 0, 0, None)
 
 
-def executor_ended(state: HomeState, lost: str, now: datetime) -> list[Effect]:
+def handle_executor_ended(state: HomeState, lost: str, now: datetime) -> list[Effect]:
     """Ask for the tries at an executor that has just ended, and tell on the rest."""
     effects: list[Effect] = []
     for partition in sorted(_open_partitions(state, lost)):
-        effects += _ask(state, partition, lost, True, now)
+        effects += _start_inquiry(state, partition, lost, True, now)
     return effects or adoption.send_lost_records(state, lost, now)
 
 
@@ -45,19 +45,19 @@
     effects: list[Effect] = []
     for inquiry in list(state.inquiries.values()):
         if not _is_served(state, inquiry):
-            effects += _end(state, inquiry, now)
+            effects += _close_inquiry(state, inquiry, now)
         elif now - inquiry.since >= state.policy.unreachable_after:
             # As long as for a silent executor's own tries.
-            effects += _settle(state, inquiry, now)
+            effects += _resolve(state, inquiry, now)
     for executor in filter(state.takeover.has_ended, list(state.in_flight)):
-        _forget_closed(state, executor)
+        _drop_closed_attempts(state, executor)
         for partition in sorted(_open_partitions(state, executor)):
             if (partition, executor) not in state.inquiries:
-                effects += _ask(state, partition, executor, False, now)
+                effects += _start_inquiry(state, partition, executor, False, now)
     return effects
 
 
-def _forget_closed(state: HomeState, executor: str) -> None:
+def _drop_closed_attempts(state: HomeState, executor: str) -> None:
     """Drop tries whose jobs have ended: no answer will come for them."""
     for attempt, placed in list(state.in_flight[executor].items()):
         if not _is_open(attempt, placed):
@@ -83,8 +83,8 @@
             continue
         inquiry.asked.discard(name)
         inquiry.heard += answer
-        if not inquiry.asked or _is_known(state, inquiry):
-            effects += _settle(state, inquiry, now)
+        if not inquiry.asked or _is_conclusive(state, inquiry):
+            effects += _resolve(state, inquiry, now)
     return effects
 
 
@@ -97,7 +97,7 @@
     }
 
 
-def _is_open(attempt: AttemptId, placed: Placed) -> bool:
+def _is_open(attempt: AttemptId, placed: PlacedAttempt) -> bool:
     return not placed.job.dropped and placed.job.slots[placed.task].attempt == attempt
 
 
@@ -106,12 +106,12 @@
     return ownership is not None and ownership.epoch == inquiry.epoch
 
 
-def _ask(
-    state: HomeState, partition: int, lost: str, retells: bool, now: datetime
+def _start_inquiry(
+    state: HomeState, partition: int, lost: str, transfers_records: bool, now: datetime
 ) -> list[Effect]:
     ownership = state.takeover.owned[partition]
     asked = {member.incarnation for member in state.takeover.sidecars}
-    inquiry = Inquiry(lost, partition, ownership.epoch, asked, retells, now)
+    inquiry = Inquiry(lost, partition, ownership.epoch, asked, transfers_records, now)
     state.inquiries[partition, lost] = inquiry
     fence = Fence(partition, ownership.epoch)
     effects: list[Effect] = [Count(Counter.ENDED_ASKED_FOR)]
@@ -132,7 +132,7 @@
     ]
 
 
-def _is_known(state: HomeState, inquiry: Inquiry) -> bool:
+def _is_conclusive(state: HomeState, inquiry: Inquiry) -> bool:
     """Return whether no further answer could say more."""
     if not _is_covered(inquiry):
         return False
@@ -140,7 +140,7 @@
     return all(one.outcome is not Outcome.UNKNOWN for one in outcomes)
 
 
-def _settle(state: HomeState, inquiry: Inquiry, now: datetime) -> list[Effect]:
+def _resolve(state: HomeState, inquiry: Inquiry, now: datetime) -> list[Effect]:
     """Take what was told as the outcome of each try, or count them as unknown."""
     partition, lost = inquiry.partition, inquiry.lost
     is_covered = _is_covered(inquiry)
@@ -150,25 +150,27 @@
     ]
     if is_covered:
         for outcome in _outcomes(state, inquiry):
-            effects += dispatch.task_outcome(state, outcome, lost, now)
+            effects += dispatch.handle_task_outcome(state, outcome, lost, now)
     else:
-        effects += dispatch.give_up(state, lost, now, partition)
-    return effects + _end(state, inquiry, now)
+        effects += dispatch.fail_attempts(state, lost, now, partition)
+    return effects + _close_inquiry(state, inquiry, now)
 
 
-def _end(state: HomeState, inquiry: Inquiry, now: datetime) -> list[Effect]:
+def _close_inquiry(state: HomeState, inquiry: Inquiry, now: datetime) -> list[Effect]:
     """Tell on what is known here once the last question about an executor ended."""
     del state.inquiries[inquiry.partition, inquiry.lost]
     others = [one for one in state.inquiries.values() if one.lost == inquiry.lost]
-    if not inquiry.retells:
+    if not inquiry.transfers_records:
         return []
     if others:
-        others[0].retells = True
+        others[0].transfers_records = True
         return []
     return adoption.send_lost_records(state, inquiry.lost, now)
 
 
-def _outcome(attempt: AttemptId, placed: Placed, heard: list[FenceAck]) -> TaskOutcome:
+def _outcome(
+    attempt: AttemptId, placed: PlacedAttempt, heard: list[FenceAck]
+) -> TaskOutcome:
     """Return what became of a try by the records of all that answered."""
     record = _best_record(attempt, heard)
     outcome, result = Outcome.UNKNOWN, b""
@@ -182,7 +184,7 @@
     elif record.attempt == attempt and record.state is TaskState.DONE:
         if record.result is not None:
             outcome, result = Outcome.DONE, record.result
-    return TaskOutcome(attempt, outcome, result, reason.value, _NOTHING_FREE, None)
+    return TaskOutcome(attempt, outcome, result, reason.value, _EMPTY_LOAD, None)
 
 
 def _best_record(attempt: AttemptId, heard: list[FenceAck]) -> StartRecord | None:
--- a/gypsumspoke/core/intake.py
+++ b/gypsumspoke/core/intake.py
@@ -13,16 +13,20 @@
 from gypsumspoke.core.counters import Counter
 from gypsumspoke.core.effects import Count, Effect
 from gypsumspoke.core.errors import ErrorKind, Work
-from gypsumspoke.core.home_state import HomeState, Parked, answer_of, reply
+from gypsumspoke.core.home_state import HomeState, ParkedRequest, answer_of, reply
 from gypsumspoke.core.jobs import Job, Waiter
 from gypsumspoke.core.messages import CancelJob, QueryJob, SubmitJob
 from gypsumspoke.core.ownership import Ownership
-from gypsumspoke.core.placement import expected_run, expected_wait, serves
+from gypsumspoke.core.placement import (
+    expected_run,
+    expected_wait,
+    is_service_registered,
+)
 from gypsumspoke.core.values import Answer, JobKey, Submission
 
-PARK_LIMIT = timedelta(seconds=2)
-PARKED_LIMIT = 1_000
-REFUSE_NEW_AFTER = timedelta(seconds=5)
+PARK_TIMEOUT = timedelta(seconds=2)
+MAX_PARKED_REQUESTS = 1_000
+DRAIN_ACCEPT_TIMEOUT = timedelta(seconds=5)
 
 
 def submit(
@@ -41,12 +45,12 @@
         return _park(state, sender, message, now)
     submission = message.submission
     waiter = Waiter(sender, message.request)
-    kind = _unfit(state, ownership, submission, now)
+    kind = _validation_error(state, ownership, submission, now)
     if kind is not None:
         return [Count(kind), reply(waiter, submission.key, answer_of(kind))]
-    effects = _attach(state, ownership, submission, waiter, now)
+    effects = _answer_known(state, ownership, submission, waiter, now)
     if effects is None:
-        effects = _first_sight(state, ownership, submission, waiter, now)
+        effects = _accept_new(state, ownership, submission, waiter, now)
     job = state.job(message.partition, submission.key)
     if message.wait or job is None:
         return effects
@@ -56,7 +60,7 @@
     return effects + [reply(waiter, submission.key, running)]
 
 
-def _unfit(
+def _validation_error(
     state: HomeState, ownership: Ownership, submission: Submission, now: datetime
 ) -> ErrorKind | None:
     """Return why a copy can't be judged here, or None."""
@@ -74,7 +78,7 @@
     return None
 
 
-def _attach(
+def _answer_known(
     state: HomeState,
     ownership: Ownership,
     submission: Submission,
@@ -137,7 +141,7 @@
     )
 
 
-def _first_sight(
+def _accept_new(
     state: HomeState,
     ownership: Ownership,
     submission: Submission,
@@ -145,7 +149,7 @@
     now: datetime,
 ) -> list[Effect]:
     """Decide about a key of which this home has no start and no answer."""
-    if _is_stuck_leaving(state, now):
+    if _is_drain_stuck(state, now):
         kind = ErrorKind.NOT_OWNER
         return [Count(kind), reply(waiter, submission.key, answer_of(kind))]
     floor = ownership.floor
@@ -178,16 +182,16 @@
     return []
 
 
-def _is_stuck_leaving(state: HomeState, now: datetime) -> bool:
+def _is_drain_stuck(state: HomeState, now: datetime) -> bool:
     """Return whether a leaving home can't hand over, as while the table is down.
 
     It would never finish its jobs if it went on taking new ones.
     """
     since = state.draining_since
-    return since is not None and now - since >= REFUSE_NEW_AFTER
+    return since is not None and now - since >= DRAIN_ACCEPT_TIMEOUT
 
 
-class Shortage(NamedTuple):
+class CapacityRefusal(NamedTuple):
     """Why a new job is not accepted now, and when to come back."""
 
     kind: ErrorKind
@@ -196,21 +200,21 @@
 
 def _capacity_refusal(
     state: HomeState, submission: Submission, now: datetime
-) -> Shortage | None:
-    if not serves(state.placement, submission.service):
-        return Shortage(ErrorKind.NO_WORKER_FITS, None)
+) -> CapacityRefusal | None:
+    if not is_service_registered(state.placement, submission.service):
+        return CapacityRefusal(ErrorKind.NO_WORKER_FITS, None)
     known = state.ledger.finished_count + state.job_count
     if known >= state.policy.ledger_limit:
-        return Shortage(ErrorKind.LEDGER_FULL, None)
+        return CapacityRefusal(ErrorKind.LEDGER_FULL, None)
     ahead = _tasks_ahead(state, submission)
     wait = expected_wait(state.placement, submission.service, ahead)
     if ahead > state.policy.home_queue_limit:
-        return Shortage(ErrorKind.QUEUE_FULL, wait)
+        return CapacityRefusal(ErrorKind.QUEUE_FULL, wait)
     run = expected_run(state.placement, submission.service)
     # With nothing queued the job is tried whatever the estimate says: an estimate from
     # a time of slow upstreams would else refuse all jobs and never be corrected.
     if state.queued and now + wait + run > submission.deadline:
-        return Shortage(ErrorKind.DEADLINE_UNREACHABLE, wait)
+        return CapacityRefusal(ErrorKind.DEADLINE_UNREACHABLE, wait)
     return None
 
 
@@ -235,15 +239,15 @@
     """Let a request wait for a takeover that is under way, not for long."""
     partition = message.partition
     if partition not in state.takeover.owned:
-        return _turn_away(message, sender, ErrorKind.NOT_OWNER)
+        return _refuse_request(message, sender, ErrorKind.NOT_OWNER)
     parked = state.parked.setdefault(partition, [])
-    if len(parked) >= PARKED_LIMIT:
-        return _turn_away(message, sender, ErrorKind.TAKEOVER_IN_PROGRESS)
-    parked.append(Parked(sender, message, now))
+    if len(parked) >= MAX_PARKED_REQUESTS:
+        return _refuse_request(message, sender, ErrorKind.TAKEOVER_IN_PROGRESS)
+    parked.append(ParkedRequest(sender, message, now))
     return []
 
 
-def _turn_away(message, sender: str, kind: ErrorKind) -> list[Effect]:
+def _refuse_request(message, sender: str, kind: ErrorKind) -> list[Effect]:
     key = message.submission.key if isinstance(message, SubmitJob) else message.key
     waiter = Waiter(sender, message.request)
     effects: list[Effect] = [Count(kind), reply(waiter, key, answer_of(kind))]
@@ -256,11 +260,11 @@
     """Give up on requests whose partition is not served soon, at once and for now."""
     effects: list[Effect] = []
     for partition, parked in list(state.parked.items()):
-        late = [one for one in parked if now - one.since >= PARK_LIMIT]
+        late = [one for one in parked if now - one.since >= PARK_TIMEOUT]
         for one in late:
             parked.remove(one)
             kind = ErrorKind.TAKEOVER_IN_PROGRESS
-            effects += _turn_away(one.message, one.sender, kind)
+            effects += _refuse_request(one.message, one.sender, kind)
         if not parked:
             del state.parked[partition]
     return effects
@@ -270,7 +274,7 @@
     state: HomeState, message: QueryJob, sender: str, now: datetime
 ) -> list[Effect]:
     """Say what became of a key."""
-    return _known_or_parked(state, message, sender, now)
+    return _answer_or_park(state, message, sender, now)
 
 
 def cancel(
@@ -279,12 +283,12 @@
     """Start nothing more of a job, and end it."""
     job = state.job(message.partition, message.key)
     if job is None or state.serving(message.partition) is None:
-        return _known_or_parked(state, message, sender, now)
+        return _answer_or_park(state, message, sender, now)
     job.waiters.append(Waiter(sender, message.request))
     return endings.begin_ending(state, job, ErrorKind.CANCELLED, now)
 
 
-def _known_or_parked(
+def _answer_or_park(
     state: HomeState, message: QueryJob | CancelJob, sender: str, now: datetime
 ) -> list[Effect]:
     ownership = state.serving(message.partition)
--- a/gypsumspoke/core/jobs.py
+++ b/gypsumspoke/core/jobs.py
@@ -15,7 +15,7 @@
 
 # A whole answer goes to the entry in one frame, bounded by ``wire`` at 4 MiB. The rest
 # is for the lengths of up to 130 results and the fields around them.
-ANSWER_BYTES = 3 * 1024 * 1024
+MAX_ANSWER_BYTES = 3 * 1024 * 1024
 
 
 class Waiter(NamedTuple):
@@ -42,10 +42,10 @@
         self.state = SlotState.WAITING
         self.attempt: AttemptId | None = None
         self.executor = ""
-        self.placed: datetime | None = None
-        self.asked: datetime | None = None
+        self.placed_at: datetime | None = None
+        self.asked_at: datetime | None = None
         self.placements = 0
-        self.avoid: frozenset[str] = frozenset()
+        self.excluded: frozenset[str] = frozenset()
         self.is_running = False
         self.result: bytes | None = None
 
@@ -56,17 +56,17 @@
     Args:
       submission: the copy that is run.
       partition: its partition.
-      accepted: when it was accepted.
+      accepted_at: when it was accepted.
     """
 
     def __init__(
-        self, submission: Submission, partition: int, accepted: datetime
+        self, submission: Submission, partition: int, accepted_at: datetime
     ) -> None:
         self.submission = submission
         self.partition = partition
-        self.accepted = accepted
+        self.accepted_at = accepted_at
         self.slots = [TaskSlot() for _ in submission.tasks]
-        self.undone = len(submission.tasks)
+        self.unfinished = len(submission.tasks)
         self.result_bytes = 0
         self.waiters: list[Waiter] = []
         self.ending: ErrorKind | None = None
@@ -87,12 +87,12 @@
     @property
     def is_done(self) -> bool:
         """Whether every task is done."""
-        return self.undone == 0
+        return self.unfinished == 0
 
     @property
     def is_too_large(self) -> bool:
         """Whether its results don't fit one answer."""
-        return self.result_bytes > ANSWER_BYTES
+        return self.result_bytes > MAX_ANSWER_BYTES
 
     def set_done(self, slot: TaskSlot, result: bytes) -> None:
         """Note that a task is done; its result is kept while all fit one answer.
@@ -102,7 +102,7 @@
         one is an answer too.
         """
         slot.state = SlotState.DONE
-        self.undone -= 1
+        self.unfinished -= 1
         self.result_bytes += len(result)
         slot.result = None if self.is_too_large else result
 
--- a/gypsumspoke/core/ledger.py
+++ b/gypsumspoke/core/ledger.py
@@ -25,7 +25,7 @@
     RefusedRecord,
 )
 
-REFUSED_LIMIT = 20_000
+MAX_REFUSALS = 20_000
 GENERATION_BITS = 20
 COUNT_BITS = 12
 _EPOCH_SHIFT = GENERATION_BITS + COUNT_BITS
--- a/gypsumspoke/core/placement.py
+++ b/gypsumspoke/core/placement.py
@@ -14,9 +14,9 @@
 
 from gypsumspoke.core.ejection import (
     due_probe,
-    learn_health,
+    indicates_worker_health,
     schedule_probe,
-    tells_of_health,
+    update_health,
 )
 from gypsumspoke.core.placement_state import (
     ALL,
@@ -28,17 +28,17 @@
     Rank,
     ServicePool,
     Strategy,
-    forget,
-    refresh,
+    remove_executor,
     seconds_of,
     service_pool,
     smooth,
+    update_pools,
 )
 from gypsumspoke.core.policy import Policy
 from gypsumspoke.core.values import Load, Member, Outcome, Role
 
-_ASSUMED_RUN = 0.3
-_REFERENCES = 3
+_DEFAULT_RUN_SECONDS = 0.3
+_REFERENCE_SAMPLES = 3
 
 
 def new_placement(seed: int, strategy: Strategy | None = None) -> PlacementState:
@@ -62,7 +62,7 @@
     state.message_weight = policy.message_weight
     state.strategy = STRATEGIES.get(policy.placement, state.strategy)
     for executor in state.executors.values():
-        refresh(state, executor)
+        update_pools(state, executor)
 
 
 def set_members(
@@ -90,23 +90,23 @@
         and member.worker != own_worker
     }
     for incarnation in set(state.executors) - set(offered):
-        forget(state, incarnation)
+        remove_executor(state, incarnation)
     for incarnation, member in offered.items():
         executor = state.executors.get(incarnation)
         if executor is None:
             executor = ExecutorView(member)
             state.executors[incarnation] = executor
-            service_pool(state, member.service).known.add(incarnation)
+            service_pool(state, member.service).registered.add(incarnation)
         executor.reachable = incarnation in reachable
-        refresh(state, executor)
+        update_pools(state, executor)
 
 
-def serves(state: PlacementState, service: str) -> bool:
+def is_service_registered(state: PlacementState, service: str) -> bool:
     """Tell whether any registered worker, reachable or not, offers the service."""
-    return service in state.services and bool(state.services[service].known)
+    return service in state.services and bool(state.services[service].registered)
 
 
-def choose(
+def choose_executor(
     state: PlacementState, service: str, exclude: frozenset[str], now: datetime
 ) -> str | None:
     """Return the executor for one task; call ``note_placed`` if it is used.
@@ -126,28 +126,28 @@
     probe = due_probe(state, pool, exclude, seconds_of(now))
     if probe is not None:
         return probe
-    drawn = _draw(state, pool, exclude)
+    drawn = _sample_candidates(state, pool, exclude)
     if not drawn:
         return None
     best = min(drawn, key=_ranking(state, pool, seconds_of(now)))
-    return best if _is_worth_it(state, pool, best, seconds_of(now)) else None
+    return best if _is_acceptable(state, pool, best, seconds_of(now)) else None
 
 
-def note_placed(state: PlacementState, incarnation: str, now: datetime) -> None:
+def record_placement(state: PlacementState, incarnation: str, now: datetime) -> None:
     """Count a task as sent to an executor."""
     executor = state.executors.get(incarnation)
     if executor is None:
         return
     if executor.in_flight == 0:
-        executor.quiet_since = seconds_of(now)
+        executor.last_progress = seconds_of(now)
     executor.in_flight += 1
     service_pool(state, executor.member.service).in_flight += 1
     if executor.ejected:
         schedule_probe(state, executor, seconds_of(now))
-    refresh(state, executor)
+    update_pools(state, executor)
 
 
-def note_outcome(
+def record_outcome(
     state: PlacementState,
     incarnation: str,
     outcome: Outcome,
@@ -176,27 +176,27 @@
     if executor.in_flight:
         executor.in_flight -= 1
         service_pool(state, executor.member.service).in_flight -= 1
-    executor.quiet_since = seconds_of(now)
+    executor.last_progress = seconds_of(now)
     if outcome is Outcome.DONE and run_time is not None:
-        _learn_run(state, executor, run_time.total_seconds())
+        _update_mean_run(state, executor, run_time.total_seconds())
     if load is not None:
-        _learn_load(executor, load)
+        _apply_load(executor, load)
     was_ejected = executor.ejected
-    if tells_of_health(outcome, reason):
-        learn_health(state, executor, outcome is not Outcome.DONE, seconds_of(now))
-    refresh(state, executor)
+    if indicates_worker_health(outcome, reason):
+        update_health(state, executor, outcome is not Outcome.DONE, seconds_of(now))
+    update_pools(state, executor)
     return executor.ejected and not was_ejected
 
 
-def note_load(
+def update_load(
     state: PlacementState, incarnation: str, load: Load, now: datetime
 ) -> None:
     """Learn from a load that came without an outcome, as on a heartbeat."""
     executor = state.executors.get(incarnation)
     if executor is None:
         return
-    _learn_load(executor, load)
-    refresh(state, executor)
+    _apply_load(executor, load)
+    update_pools(state, executor)
 
 
 def expected_run(state: PlacementState, service: str) -> timedelta:
@@ -208,8 +208,8 @@
     """
     pool = state.services.get(service)
     if pool is None or not pool.in_flight:
-        return timedelta(seconds=_ASSUMED_RUN)
-    return timedelta(seconds=_service_mean(pool))
+        return timedelta(seconds=_DEFAULT_RUN_SECONDS)
+    return timedelta(seconds=_service_mean_run(pool))
 
 
 def expected_wait(state: PlacementState, service: str, queued: int) -> timedelta:
@@ -231,17 +231,17 @@
     if pool is not None and not pool.in_flight:
         return timedelta(0)
     rate = 0.0
-    for incarnation in pool.known if pool else ():
+    for incarnation in pool.registered if pool else ():
         executor = state.executors[incarnation]
         if executor.reachable and not executor.ejected and executor.slots:
             share = (executor.in_flight + 1) / (executor.total + 1)
-            rate += share * executor.slots / _mean(executor, pool)
+            rate += share * executor.slots / _mean_run(executor, pool)
     if not rate:
-        return timedelta(seconds=queued * _service_mean(pool))
+        return timedelta(seconds=queued * _service_mean_run(pool))
     return timedelta(seconds=queued / rate)
 
 
-def ejected(state: PlacementState) -> frozenset[str]:
+def ejected_executors(state: PlacementState) -> frozenset[str]:
     """Return the incarnations that are taken out for failing."""
     return frozenset(
         incarnation
@@ -250,14 +250,14 @@
     )
 
 
-def _draw(
+def _sample_candidates(
     state: PlacementState, pool: ServicePool, exclude: frozenset[str]
 ) -> list[str]:
     """Return the executors that the strategy wants compared."""
     items = pool.free.items
     wanted = state.strategy.choices
     if state.strategy.rank is Rank.TURN:
-        return _next_in_turn(pool, exclude)
+        return _next_round_robin(pool, exclude)
     if wanted == ALL or wanted >= len(items):
         return [item for item in items if item not in exclude]
     drawn = state.random.sample(items, wanted)
@@ -268,12 +268,12 @@
     return state.random.sample(allowed, min(wanted, len(allowed)))
 
 
-def _next_in_turn(pool: ServicePool, exclude: frozenset[str]) -> list[str]:
+def _next_round_robin(pool: ServicePool, exclude: frozenset[str]) -> list[str]:
     items = pool.free.items
     for _ in range(len(items)):
-        pool.turn = (pool.turn + 1) % len(items)
-        if items[pool.turn] not in exclude:
-            return [items[pool.turn]]
+        pool.last_index = (pool.last_index + 1) % len(items)
+        if items[pool.last_index] not in exclude:
+            return [items[pool.last_index]]
     return []
 
 
@@ -298,15 +298,15 @@
     While a slot is free that is one run; else the tasks there drain first, at
     ``slots`` per mean run.
     """
-    run = _mean(executor, pool)
+    run = _mean_run(executor, pool)
     if executor.in_flight:
         # A worker that hangs sends no run times, so by these alone it would look as
         # fast as ever. The time since it last finished anything is a lower bound.
-        run = max(run, (now - executor.quiet_since))
+        run = max(run, (now - executor.last_progress))
     return run * max(1.0, (executor.total + 1) / max(1, executor.slots))
 
 
-def _is_worth_it(
+def _is_acceptable(
     state: PlacementState, pool: ServicePool, best: str, now: float
 ) -> bool:
     """Tell whether a task should go there rather than wait for a better executor.
@@ -320,7 +320,7 @@
     usable = pool.usable.items
     if patience is None or not usable:
         return True
-    drawn = state.random.sample(usable, min(_REFERENCES, len(usable)))
+    drawn = state.random.sample(usable, min(_REFERENCE_SAMPLES, len(usable)))
     reference = min(_expected_end(state.executors[item], pool, now) for item in drawn)
     # The more messages weigh, the longer a task waits at the home: a task sent early
     # to a poor place is the one that is refused there or cancelled after its start.
@@ -328,27 +328,27 @@
     return _expected_end(state.executors[best], pool, now) <= patience * reference
 
 
-def _mean(executor: ExecutorView, pool: ServicePool | None) -> float:
-    return executor.mean_run or _service_mean(pool)
+def _mean_run(executor: ExecutorView, pool: ServicePool | None) -> float:
+    return executor.mean_run or _service_mean_run(pool)
 
 
-def _service_mean(pool: ServicePool | None) -> float:
-    return (pool.mean_run if pool else None) or _ASSUMED_RUN
+def _service_mean_run(pool: ServicePool | None) -> float:
+    return (pool.mean_run if pool else None) or _DEFAULT_RUN_SECONDS
 
 
-def _learn_run(state: PlacementState, executor: ExecutorView, run: float) -> None:
+def _update_mean_run(state: PlacementState, executor: ExecutorView, run: float) -> None:
     """Smooth run times of finished tasks; failed ones would make it look fast."""
     pool = service_pool(state, executor.member.service)
     executor.mean_run = smooth(executor.mean_run, run, SMOOTHING)
     pool.mean_run = smooth(pool.mean_run, run, SMOOTHING)
 
 
-def _learn_load(executor: ExecutorView, load: Load) -> None:
+def _apply_load(executor: ExecutorView, load: Load) -> None:
     """Take what other homes have there from a report.
 
     The executor's own mean covers all homes' tasks and so replaces this home's.
     """
     executor.slots = load.slots
-    executor.foreign = max(0, load.running + load.queued - executor.in_flight)
+    executor.other_homes_tasks = max(0, load.running + load.queued - executor.in_flight)
     if load.mean_run is not None:
         executor.mean_run = load.mean_run.total_seconds()
--- a/gypsumspoke/core/placement_state.py
+++ b/gypsumspoke/core/placement_state.py
@@ -13,7 +13,7 @@
 from gypsumspoke.core.values import Member
 
 ALL = 0
-FIRST_PROBE = 5.0
+MIN_PROBE_INTERVAL = 5.0
 SMOOTHING = 0.1
 _UNBOUNDED = 1 << 30
 
@@ -67,21 +67,21 @@
         self.reachable = False
         self.slots = member.slots
         self.in_flight = 0
-        self.foreign = 0
+        self.other_homes_tasks = 0
         self.mean_run: float | None = None
-        self.quiet_since = 0.0
+        self.last_progress = 0.0
         self.failure_rate = 0.0
         self.ejected = False
         self.probe_at = 0.0
-        self.probe_pause = FIRST_PROBE
+        self.probe_interval = MIN_PROBE_INTERVAL
 
     @property
     def total(self) -> int:
         """Tasks there by the last report and this home's own count."""
-        return self.in_flight + self.foreign
+        return self.in_flight + self.other_homes_tasks
 
 
-class Pool:
+class IndexedSet:
     """A set of incarnations with random draws, additions and removals in O(1)."""
 
     def __init__(self) -> None:
@@ -114,15 +114,15 @@
     """The executors of one upstream service."""
 
     def __init__(self) -> None:
-        self.known: set[str] = set()
-        self.usable = Pool()
-        self.free = Pool()
+        self.registered: set[str] = set()
+        self.usable = IndexedSet()
+        self.free = IndexedSet()
         self.probes: list[tuple[float, str]] = []
         self.in_flight = 0
         self.mean_run: float | None = None
         self.failure_rate = 0.0
         self.ejected = 0
-        self.turn = 0
+        self.last_index = 0
 
 
 class PlacementState:
@@ -136,15 +136,17 @@
         self.services: dict[str, ServicePool] = {}
 
 
-def refresh(state: PlacementState, executor: ExecutorView) -> None:
+def update_pools(state: PlacementState, executor: ExecutorView) -> None:
     """Put the executor into the sets it belongs to and take it out of the others."""
     pool = service_pool(state, executor.member.service)
     incarnation = executor.member.incarnation
-    _put(pool.usable, incarnation, _is_usable(executor))
-    _put(pool.free, incarnation, _is_usable(executor) and _has_room(state, executor))
+    _set_membership(pool.usable, incarnation, _is_usable(executor))
+    _set_membership(
+        pool.free, incarnation, _is_usable(executor) and _has_room(state, executor)
+    )
 
 
-def _put(pool: Pool, item: str, belongs: bool) -> None:
+def _set_membership(pool: IndexedSet, item: str, belongs: bool) -> None:
     if belongs:
         pool.add(item)
     else:
@@ -162,10 +164,10 @@
     and one report of a full executor could otherwise keep the home away for good. The
     executor's own queue limit still holds.
     """
-    return executor.in_flight == 0 or executor.total < _bound(state, executor)
+    return executor.in_flight == 0 or executor.total < _max_tasks(state, executor)
 
 
-def _bound(state: PlacementState, executor: ExecutorView) -> float:
+def _max_tasks(state: PlacementState, executor: ExecutorView) -> float:
     """Return the most tasks there by what the home knows.
 
     The more messages weigh, the fewer may wait there: each waiting task risks a
@@ -181,12 +183,12 @@
     return state.services.setdefault(name, ServicePool())
 
 
-def forget(state: PlacementState, incarnation: str) -> None:
+def remove_executor(state: PlacementState, incarnation: str) -> None:
     """Drop an executor that is no longer registered."""
     executor = state.executors.pop(incarnation)
     pool = service_pool(state, executor.member.service)
     pool.in_flight -= executor.in_flight
-    pool.known.discard(incarnation)
+    pool.registered.discard(incarnation)
     pool.usable.remove(incarnation)
     pool.free.remove(incarnation)
     if executor.ejected:
--- a/gypsumspoke/core/quota.py
+++ b/gypsumspoke/core/quota.py
@@ -28,11 +28,11 @@
 from gypsumspoke.core.policy import TeamPolicy
 
 REPORT_INTERVAL = timedelta(seconds=1)
-SILENT_AFTER = timedelta(seconds=2.5)
-SHORTEST_RETRY = timedelta(milliseconds=100)
-LONGEST_RETRY = timedelta(seconds=30)
-_SMALLEST_SHARE = 0.05
-_EVERYTHING = float("inf")
+REPORT_TIMEOUT = timedelta(seconds=2.5)
+MIN_RETRY_DELAY = timedelta(milliseconds=100)
+MAX_RETRY_DELAY = timedelta(seconds=30)
+_MIN_SHARE = 0.05
+_UNLIMITED = float("inf")
 
 
 class _Target(NamedTuple):
@@ -58,7 +58,7 @@
         self.targets: deque[_Target] = deque([_Target(now, rate)])
         self.rate = rate
         self.tokens = self.capacity
-        self.filled = now
+        self.refilled_at = now
         self.offered = 0
         self.admitted = 0
         self.demand = 0.0
@@ -70,15 +70,15 @@
             return 0.0
         return self.policy.burst * self.rate / self.policy.tasks_per_second
 
-    def fill(self, now: datetime) -> None:
+    def refill(self, now: datetime) -> None:
         """Add the tokens that have come up since the last time."""
-        passed = max((now - self.filled).total_seconds(), 0.0)
-        self.filled = now
+        passed = max((now - self.refilled_at).total_seconds(), 0.0)
+        self.refilled_at = now
         self.tokens = min(self.tokens + passed * self.rate, self.capacity)
 
-    def aim(self, rate: float, now: datetime) -> None:
+    def set_target(self, rate: float, now: datetime) -> None:
         """Use the lowest share computed within the last interval."""
-        self.fill(now)
+        self.refill(now)
         self.targets.append(_Target(now, rate))
         while len(self.targets) > 1 and self.targets[1].at <= now - REPORT_INTERVAL:
             self.targets.popleft()
@@ -120,10 +120,10 @@
             # A new quota holds at once: keeping the lowest share of the last interval
             # would delay a raise, and an old target above a lowered quota is void.
             bucket = state._buckets[name]
-            bucket.fill(now)
+            bucket.refill(now)
             bucket.policy = policy
             bucket.targets.clear()
-            bucket.aim(_share(state, name, now), now)
+            bucket.set_target(_share(state, name, now), now)
 
 
 def set_entries(state: QuotaState, entries: Iterable[str], now: datetime) -> None:
@@ -131,7 +131,7 @@
     state._others = frozenset(entries) - {state._incarnation}
     for gone in set(state._reports) - state._others:
         del state._reports[gone]
-    _aim_all(state, now)
+    _update_rates(state, now)
 
 
 def admit(state: QuotaState, team: str, tasks: int, now: datetime) -> timedelta | None:
@@ -147,7 +147,7 @@
       None when admitted, else the time until the bucket has enough tokens.
     """
     bucket = _bucket(state, team, now)
-    bucket.fill(now)
+    bucket.refill(now)
     bucket.offered += tasks
     needed = min(tasks, bucket.capacity)
     if bucket.capacity > 0 and bucket.tokens >= needed:
@@ -155,13 +155,13 @@
         bucket.admitted += tasks
         return None
     if bucket.rate <= 0:
-        return LONGEST_RETRY
+        return MAX_RETRY_DELAY
     wait = timedelta(
         seconds=min(
-            (needed - bucket.tokens) / bucket.rate, LONGEST_RETRY.total_seconds()
+            (needed - bucket.tokens) / bucket.rate, MAX_RETRY_DELAY.total_seconds()
         )
     )
-    return max(wait, SHORTEST_RETRY)
+    return max(wait, MIN_RETRY_DELAY)
 
 
 def due_report(state: QuotaState, now: datetime) -> TeamUsage | None:
@@ -183,11 +183,11 @@
             usage.append((name, bucket.demand, admitted))
         bucket.offered = 0
         bucket.admitted = 0
-    _aim_all(state, now)
+    _update_rates(state, now)
     return TeamUsage(state._incarnation, state._sequence, tuple(usage))
 
 
-def note_report(state: QuotaState, report: TeamUsage, now: datetime) -> None:
+def handle_report(state: QuotaState, report: TeamUsage, now: datetime) -> None:
     """Take the report of another entry; one that came out of order is dropped."""
     known = state._reports.get(report.incarnation)
     if known is not None and report.sequence <= known.sequence:
@@ -196,7 +196,7 @@
         return
     offered = {team: rate for team, rate, _ in report.usage}
     state._reports[report.incarnation] = _Report(report.sequence, now, offered)
-    _aim_all(state, now)
+    _update_rates(state, now)
 
 
 def rate_of(state: QuotaState, team: str) -> float:
@@ -217,23 +217,23 @@
         state._buckets[team] = _Bucket(policy, 0.0, now)
         bucket = state._buckets[team]
         bucket.targets.clear()
-        bucket.aim(_share(state, team, now), now)
+        bucket.set_target(_share(state, team, now), now)
         bucket.tokens = bucket.capacity
     return state._buckets[team]
 
 
-def _aim_all(state: QuotaState, now: datetime) -> None:
+def _update_rates(state: QuotaState, now: datetime) -> None:
     for name, bucket in state._buckets.items():
-        bucket.aim(_share(state, name, now), now)
+        bucket.set_target(_share(state, name, now), now)
 
 
 def _share(state: QuotaState, team: str, now: datetime) -> float:
     """Return our part of a team's quota by max-min fairness over all entries."""
     quota = state._policies[team].tasks_per_second
     count = len(state._others) + 1
-    smallest = _SMALLEST_SHARE * quota / count
+    smallest = _MIN_SHARE * quota / count
     others = [_demand_of(state, other, team, now) for other in state._others]
-    if all(demand == _EVERYTHING for demand in others):
+    if all(demand == _UNLIMITED for demand in others):
         return quota / count
     bucket = state._buckets.get(team)
     own = max(bucket.demand if bucket else 0.0, smallest)
@@ -246,8 +246,8 @@
 
 def _demand_of(state: QuotaState, other: str, team: str, now: datetime) -> float:
     report = state._reports.get(other)
-    if report is None or now - report.at > SILENT_AFTER:
-        return _EVERYTHING
+    if report is None or now - report.at > REPORT_TIMEOUT:
+        return _UNLIMITED
     return report.offered.get(team, 0.0)
 
 
@@ -259,4 +259,4 @@
         if demand > equal_part:
             return equal_part
         left -= demand
-    return _EVERYTHING
+    return _UNLIMITED
--- a/gypsumspoke/shell/entry_http.py
+++ b/gypsumspoke/shell/entry_http.py
@@ -15,7 +15,6 @@
 from returns.pipeline import is_successful
 
 from gypsumspoke.core.clock import Clock
-from gypsumspoke.core.copies import DEADLINE_GRACE
 from gypsumspoke.core.effects import Count, Deliver
 from gypsumspoke.core.entry import (
     QUERY_TIMEOUT,
@@ -25,6 +24,7 @@
     QueryArrived,
 )
 from gypsumspoke.core.errors import ErrorKind
+from gypsumspoke.core.forwarding import DEADLINE_GRACE
 from gypsumspoke.core.refusals import refusal_answer
 from gypsumspoke.core.values import Answer, JobKey
 from gypsumspoke.parser.job_request import BODY_LIMIT, RequestError, parse_job_request
--- a/gypsumspoke/tools/measure_model.py
+++ b/gypsumspoke/tools/measure_model.py
@@ -19,15 +19,15 @@
     DEFAULT_STRATEGY,
     STRATEGIES,
     Strategy,
-    choose,
+    choose_executor,
     expected_run,
     expected_wait,
     new_placement,
-    note_load,
-    note_outcome,
-    note_placed,
+    record_outcome,
+    record_placement,
     set_members,
     set_policy,
+    update_load,
 )
 from gypsumspoke.core.policy import DEFAULT_POLICY
 from gypsumspoke.core.values import Load, Member, Outcome, Role
@@ -192,10 +192,10 @@
 
     def _place(self, placed: _Placed) -> bool:
         tried = frozenset(placed.tried)
-        chosen = choose(self.placement, SERVICE, tried, self._model.now)
+        chosen = choose_executor(self.placement, SERVICE, tried, self._model.now)
         if chosen is None:
             return False
-        note_placed(self.placement, chosen, self._model.now)
+        record_placement(self.placement, chosen, self._model.now)
         self._firsts += not placed.tried
         placed.tried += (chosen,)
         executor = self._model.executors[chosen]
@@ -205,7 +205,7 @@
     def outcome(self, name, placed, outcome, reason, load, run) -> None:
         run_time = None if run is None else timedelta(seconds=run)
         now = self._model.now
-        note_outcome(self.placement, name, outcome, reason, load, run_time, now)
+        record_outcome(self.placement, name, outcome, reason, load, run_time, now)
         job = placed.job
         if outcome is Outcome.NOT_RUN:
             self._model.tally.waste(reason, 2)
@@ -315,7 +315,7 @@
     def _heartbeats(self) -> None:
         for home in self._homes:
             for name, executor in self.executors.items():
-                note_load(home.placement, name, executor.load, self.now)
+                update_load(home.placement, name, executor.load, self.now)
 
     def _ticks(self) -> None:
         for home in self._homes:
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -67,7 +67,7 @@
 
 
 def test_waiting_requests_are_bounded_in_number(monkeypatch):
-    monkeypatch.setattr(admission, "WAITING_LIMIT", 2)
+    monkeypatch.setattr(admission, "MAX_WAITING_REQUESTS", 2)
     process = Entry()
     for number in range(3):
         process.submit(f"r{number}")
@@ -78,7 +78,7 @@
 
 
 def test_waiting_requests_are_bounded_in_bytes(monkeypatch):
-    monkeypatch.setattr(admission, "WAITING_BYTES_LIMIT", 10)
+    monkeypatch.setattr(admission, "MAX_WAITING_BYTES", 10)
     process = Entry()
     process.submit("r0", tasks=(Task(b"0123456789"),))
     process.submit("r1")
--- a/tests/core/test_endings.py
+++ b/tests/core/test_endings.py
@@ -14,7 +14,7 @@
     answer would never leave the home and the caller would wait until its deadline. A
     resubmission gets the same answer and starts nothing.
     """
-    monkeypatch.setattr(jobs, "ANSWER_BYTES", 9)
+    monkeypatch.setattr(jobs, "MAX_ANSWER_BYTES", 9)
     system = settled_system()
     submission = system.submission("k", tasks=2)
     for _ in range(2):
@@ -31,7 +31,7 @@
 
 
 def test_results_at_the_bound_are_a_whole_answer(monkeypatch):
-    monkeypatch.setattr(jobs, "ANSWER_BYTES", 10)
+    monkeypatch.setattr(jobs, "MAX_ANSWER_BYTES", 10)
     system = settled_system()
     submission = system.submission("k", tasks=2)
     system.submit(submission)
@@ -70,7 +70,7 @@
     Copies of the refused submissions come late, when there would be room. They are
     refused still, and run only with the number that the refusal then hands out.
     """
-    monkeypatch.setattr(endings, "REFUSED_LIMIT", 3)
+    monkeypatch.setattr(endings, "MAX_REFUSALS", 3)
     system = settled_system(workers=3, partitions=1)
     copies = [system.submission(f"k{number}", tasks=1) for number in range(10)]
     for copy in copies:
--- a/tests/core/test_fair_queue.py
+++ b/tests/core/test_fair_queue.py
@@ -10,7 +10,7 @@
     peek,
     pop,
     push,
-    push_again,
+    requeue,
 )
 
 COST = 0.2
@@ -68,7 +68,7 @@
 def test_an_item_put_back_goes_next_and_costs_nothing():
     queue = filled([("a", 1.0, 3), ("b", 1.0, 3)])
     refused = pop(queue)
-    push_again(queue, refused[0], refused)
+    requeue(queue, refused[0], refused)
     assert pop(queue) == refused
     rest = [pop(queue) for _ in range(5)]
     assert Counter(team for team, _ in rest) == {"a": 2, "b": 3}
--- a/tests/core/test_copies.py
+++ b/tests/core/test_forwarding.py
@@ -1,6 +1,6 @@
 """A copy on its way: homes that are lost, move, are silent, or are not ready."""
 
-from gypsumspoke.core import copies
+from gypsumspoke.core import forwarding
 from gypsumspoke.core.counters import RetryReason
 from gypsumspoke.core.effects import Local
 from gypsumspoke.core.errors import ErrorKind, Work
@@ -74,7 +74,7 @@
         process.event(Tick(), after=100 * MILLISECOND)
     kind = process.delivered_kind()
     assert kind == (ErrorKind.TAKEOVER_IN_PROGRESS, Work.UNKNOWN)
-    assert process.now - START <= copies.TURNED_AWAY_PATIENCE + SECOND
+    assert process.now - START <= forwarding.NOT_SERVED_TIMEOUT + SECOND
 
 
 def test_a_copy_that_was_never_sent_is_not_passed_on():
@@ -103,5 +103,5 @@
     process.submit(deadline=START + SECOND)
     process.event(Tick(), after=SECOND)
     assert not process.delivered()
-    process.event(Tick(), after=copies.DEADLINE_GRACE)
+    process.event(Tick(), after=forwarding.DEADLINE_GRACE)
     assert process.delivered_kind() == (ErrorKind.HOME_SILENT, Work.UNKNOWN)
--- a/tests/core/test_jobs.py
+++ b/tests/core/test_jobs.py
@@ -32,7 +32,7 @@
     They are dropped once they are over the bound of one answer, as none of them can be
     handed over. A dropped one is None: an empty one would be handed on as the result.
     """
-    monkeypatch.setattr(jobs, "ANSWER_BYTES", 10)
+    monkeypatch.setattr(jobs, "MAX_ANSWER_BYTES", 10)
     job = new_job(tasks=4)
     for slot, size in zip(job.slots, (6, 4, 1, 0), strict=True):
         job.set_done(slot, bytes(size))
--- a/tests/core/test_placement.py
+++ b/tests/core/test_placement.py
@@ -7,17 +7,17 @@
 
 from gypsumspoke.core.placement import (
     STRATEGIES,
-    choose,
-    ejected,
+    choose_executor,
+    ejected_executors,
     expected_run,
     expected_wait,
+    is_service_registered,
     new_placement,
-    note_load,
-    note_outcome,
-    note_placed,
-    serves,
+    record_outcome,
+    record_placement,
     set_members,
     set_policy,
+    update_load,
 )
 from gypsumspoke.core.policy import DEFAULT_POLICY
 from gypsumspoke.core.values import Load, Member, Outcome, Role
@@ -59,20 +59,20 @@
 
 
 def place(state, now=NOW):
-    chosen = choose(state, SERVICE, NOBODY, now)
+    chosen = choose_executor(state, SERVICE, NOBODY, now)
     if chosen is not None:
-        note_placed(state, chosen, now)
+        record_placement(state, chosen, now)
     return chosen
 
 
 def finish(state, incarnation, outcome=Outcome.DONE, seconds=0.2, now=NOW):
     run = timedelta(seconds=seconds)
-    return note_outcome(state, incarnation, outcome, "", load(), run, now)
+    return record_outcome(state, incarnation, outcome, "", load(), run, now)
 
 
 def fail_until_ejected(state, incarnation):
     for _ in range(10):
-        note_placed(state, incarnation, NOW)
+        record_placement(state, incarnation, NOW)
         if finish(state, incarnation, Outcome.FAILED, 0.001):
             return
     pytest.fail("never ejected")
@@ -92,9 +92,9 @@
     reachable = frozenset(one.incarnation for one in members) - {"silent-1"}
     set_members(state, members, reachable, "own")
     assert {place(state) for _ in range(5)} == {"good-1"}
-    assert choose(state, SERVICE, frozenset({"good-1"}), NOW) is None
-    assert serves(state, SERVICE)
-    assert not serves(state, "nothing")
+    assert choose_executor(state, SERVICE, frozenset({"good-1"}), NOW) is None
+    assert is_service_registered(state, SERVICE)
+    assert not is_service_registered(state, "nothing")
 
 
 def test_tasks_wait_at_the_home_once_executors_are_full_by_its_count():
@@ -118,8 +118,8 @@
 
 def test_the_faster_worker_is_preferred_until_its_queue_eats_the_gain():
     state = placement(3)
-    note_load(state, "w1-1", load(mean=0.8), NOW)
-    note_load(state, "w2-1", load(mean=0.2), NOW)
+    update_load(state, "w1-1", load(mean=0.8), NOW)
+    update_load(state, "w2-1", load(mean=0.2), NOW)
     chosen = [place(state) for _ in range(SLOTS)]
     assert set(chosen) == {"w2-1"}
 
@@ -133,36 +133,36 @@
     """
     state = placement(4)
     for worker, mean in (("w1-1", 0.2), ("w2-1", 0.2), ("w3-1", 2.0)):
-        note_load(state, worker, load(mean=mean), NOW)
+        update_load(state, worker, load(mean=mean), NOW)
     chosen = Counter(place(state) for _ in range(100))
     assert chosen["w3-1"] == 0
-    note_outcome(state, "w1-1", Outcome.DONE, "", load(mean=0.2), None, NOW)
+    record_outcome(state, "w1-1", Outcome.DONE, "", load(mean=0.2), None, NOW)
     assert place(state) == "w1-1"
 
 
 def test_a_straggler_is_used_when_it_is_all_there_is():
     state = placement(2)
-    note_load(state, "w1-1", load(mean=30.0), NOW)
+    update_load(state, "w1-1", load(mean=30.0), NOW)
     assert place(state) == "w1-1"
 
 
 def test_tasks_of_other_homes_count():
     state = placement(3)
-    note_load(state, "w1-1", load(running=SLOTS, queued=SLOTS, mean=0.2), NOW)
-    note_load(state, "w2-1", load(mean=0.2), NOW)
+    update_load(state, "w1-1", load(running=SLOTS, queued=SLOTS, mean=0.2), NOW)
+    update_load(state, "w2-1", load(mean=0.2), NOW)
     assert place(state) == "w2-1"
 
 
 def test_one_task_may_go_to_an_executor_that_others_fill():
     state = placement(2)
-    note_load(state, "w1-1", load(running=SLOTS, queued=SLOTS), NOW)
+    update_load(state, "w1-1", load(running=SLOTS, queued=SLOTS), NOW)
     assert place(state) == "w1-1"
     assert place(state) is None
 
 
 def test_a_leaving_executor_gets_nothing():
     state = placement(2)
-    note_load(state, "w1-1", load(slots=0), NOW)
+    update_load(state, "w1-1", load(slots=0), NOW)
     assert place(state) is None
 
 
@@ -174,9 +174,9 @@
     """
     state = placement(3)
     for worker in ("w1-1", "w2-1"):
-        note_placed(state, worker, NOW)
+        record_placement(state, worker, NOW)
         finish(state, worker)
-        note_placed(state, worker, NOW)
+        record_placement(state, worker, NOW)
     later = NOW + timedelta(seconds=5)
     finish(state, "w2-1", now=later)
     assert [place(state, later) for _ in range(4)] == ["w2-1"] * 4
@@ -190,7 +190,7 @@
     """
     state = placement(5)
     fail_until_ejected(state, "w1-1")
-    assert ejected(state) == {"w1-1"}
+    assert ejected_executors(state) == {"w1-1"}
     assert "w1-1" not in {place(state) for _ in range(100)}
 
 
@@ -199,9 +199,9 @@
     state = placement(5)
     for _ in range(10):
         for worker in ("w1-1", "w2-1", "w3-1", "w4-1"):
-            note_placed(state, worker, NOW)
+            record_placement(state, worker, NOW)
             finish(state, worker, Outcome.FAILED, 0.001)
-    assert len(ejected(state)) <= 1
+    assert len(ejected_executors(state)) <= 1
 
 
 def test_an_ejected_worker_gets_single_probes_ever_rarer_and_comes_back():
@@ -211,16 +211,16 @@
     last = now = NOW
     while len(pauses) < 4:
         now += timedelta(milliseconds=100)
-        if choose(state, SERVICE, NOBODY, now) == "w1-1":
-            note_placed(state, "w1-1", now)
+        if choose_executor(state, SERVICE, NOBODY, now) == "w1-1":
+            record_placement(state, "w1-1", now)
             finish(state, "w1-1", Outcome.FAILED, 0.001, now)
             pauses.append(now - last)
             last = now
     assert all(later > sooner for sooner, later in zip(pauses, pauses[1:]))
-    while ejected(state):
+    while ejected_executors(state):
         now += timedelta(milliseconds=100)
-        if choose(state, SERVICE, NOBODY, now) == "w1-1":
-            note_placed(state, "w1-1", now)
+        if choose_executor(state, SERVICE, NOBODY, now) == "w1-1":
+            record_placement(state, "w1-1", now)
             finish(state, "w1-1", now=now)
     assert now - last < timedelta(minutes=2)
 
@@ -234,9 +234,9 @@
 
 def test_waiting_time_follows_the_rate_at_which_slots_come_free():
     state = placement(3)
-    note_placed(state, "w1-1", NOW)
+    record_placement(state, "w1-1", NOW)
     for worker in ("w1-1", "w2-1"):
-        note_load(state, worker, load(running=1, mean=0.4), NOW)
+        update_load(state, worker, load(running=1, mean=0.4), NOW)
     # w1 has this home's task alone; at w2 the home can hope for half of the slots.
     rate = SLOTS / 0.4 + SLOTS / 0.4 / 2
     assert expected_wait(state, SERVICE, 40) == timedelta(seconds=40 / rate)
@@ -249,10 +249,10 @@
     runs it would refuse every job, run nothing and never learn better.
     """
     state = placement(3)
-    note_placed(state, "w1-1", NOW)
+    record_placement(state, "w1-1", NOW)
     finish(state, "w1-1", seconds=60.0)
-    note_load(state, "w2-1", load(mean=60.0), NOW)
+    update_load(state, "w2-1", load(mean=60.0), NOW)
     assert expected_wait(state, SERVICE, 130) == timedelta(0)
     assert expected_run(state, SERVICE) < timedelta(seconds=1)
-    note_placed(state, "w1-1", NOW)
+    record_placement(state, "w1-1", NOW)
     assert expected_run(state, SERVICE) > timedelta(seconds=10)
--- a/tests/core/test_quota.py
+++ b/tests/core/test_quota.py
@@ -34,7 +34,7 @@
         arrived = [link for link in self.links if link[0] <= self.now]
         self.links = [link for link in self.links if link[0] > self.now]
         for _, target, report in arrived:
-            quota.note_report(self.states[target], report, self.now)
+            quota.handle_report(self.states[target], report, self.now)
         for name, state in self.states.items():
             report = quota.due_report(state, self.now)
             if report is None or self.cut:
@@ -130,7 +130,7 @@
     entries.admitted.clear()
     _, admitted = entries.run(10, dict.fromkeys(NAMES, 2000))
     assert admitted <= 10_000 + BOUND
-    limit = TEAM.tasks_per_second * quota.SILENT_AFTER.total_seconds()
+    limit = TEAM.tasks_per_second * quota.REPORT_TIMEOUT.total_seconds()
     assert entries.excess() <= BOUND + limit
 
 
@@ -158,7 +158,7 @@
     entries.offer("e1", 1)
     newer = quota.TeamUsage("e2", 2, (("pots", 900.0, 900.0),))
     older = quota.TeamUsage("e2", 1, (("pots", 0.0, 0.0),))
-    quota.note_report(state, newer, entries.now)
+    quota.handle_report(state, newer, entries.now)
     before = quota.rate_of(state, "pots")
-    quota.note_report(state, older, entries.now)
+    quota.handle_report(state, older, entries.now)
     assert quota.rate_of(state, "pots") == before
--- a/tests/core/test_safeguards.py
+++ b/tests/core/test_safeguards.py
@@ -46,7 +46,7 @@
 
 def _settle_unasked(state, confirmation, now):
     state.confirmations.pop(confirmation.partition, None)
-    return endings._settle(state, confirmation, confirmed=True, now=now)
+    return endings._resolve_confirmation(state, confirmation, confirmed=True, now=now)
 
 
 def _uncovered_but_for_the_former_owner(state, ownership, parts, now):
@@ -149,7 +149,7 @@
     ),
     pytest.param(
         endings,
-        "_ask_next",
+        "_send_to_next",
         _settle_unasked,
         histories.test_a_paused_home_that_wakes_does_not_say_not_run,
         id="not run is confirmed before it is said",
@@ -195,6 +195,6 @@
 
 
 def test_the_modules_under_test_are_the_ones_in_use():
-    assert dispatch.complete is endings.complete
+    assert dispatch.complete_job is endings.complete_job
     assert fences.floor_birth is ledger.floor_birth
     assert epochs.fence_acks is start_records.fence_acks
--- a/tests/wire/test_frame_bound.py
+++ b/tests/wire/test_frame_bound.py
@@ -10,7 +10,7 @@
 
 from gypsumspoke.core.adoption import _finished_parts
 from gypsumspoke.core.errors import ErrorKind, Work
-from gypsumspoke.core.jobs import ANSWER_BYTES
+from gypsumspoke.core.jobs import MAX_ANSWER_BYTES
 from gypsumspoke.core.messages import Handoff, JobAnswer
 from gypsumspoke.core.start_records import StartRecords, fence_acks, remember_messages
 from gypsumspoke.core.values import (
@@ -55,7 +55,7 @@
 
 @pytest.mark.parametrize("task_count", [4, MAX_TASKS])
 def test_the_largest_whole_answer(task_count):
-    sizes = [ANSWER_BYTES // task_count] * task_count
+    sizes = [MAX_ANSWER_BYTES // task_count] * task_count
     answer = Answer(None, Work.RAN, tuple(bytes(size) for size in sizes))
     assert fits(JobAnswer("r1", KEY, answer))
 
@@ -86,7 +86,7 @@
     assert (ack.chunk, ack.chunks, ack.started, ack.closed) == (0, 1, (), ())
 
 
-LARGEST = finished(Answer(None, Work.RAN, (bytes(ANSWER_BYTES),)))
+LARGEST = finished(Answer(None, Work.RAN, (bytes(MAX_ANSWER_BYTES),)))
 NEARLY = finished(Answer(None, Work.RAN, (bytes(999_999),)))
 FAILED = finished(
     Answer(
