--- a/gypsumspoke/core/claims.py
+++ b/gypsumspoke/core/claims.py
@@ -6,7 +6,7 @@
 
 from datetime import datetime
 
-from gypsumspoke.core.counted import Counter, RetryReason
+from gypsumspoke.core.counters import Counter, RetryReason
 from gypsumspoke.core.effects import Count, Effect, Local, ReadRows, Send, WriteRows
 from gypsumspoke.core.events import (
     PartitionsChanged,
@@ -14,7 +14,7 @@
     RowsWritten,
     WriteOutcome,
 )
-from gypsumspoke.core.fences import read_members, serve
+from gypsumspoke.core.fences import read_members, start_serving
 from gypsumspoke.core.ledger import Floor
 from gypsumspoke.core.messages import HandoffAck
 from gypsumspoke.core.ownership import HandedLedger, Ownership, Phase
@@ -202,7 +202,7 @@
         # The partition never had an owner, so no key was started or refused.
         ownership.floor = Floor(ownership.epoch, 0, _before_any_birth(now), None)
         ownership.remembered = True
-        return effects + serve(state, ownership, {}, (), now)
+        return effects + start_serving(state, ownership, {}, (), now)
     return effects + read_members(ownership, now)
 
 
--- a/gypsumspoke/core/takeover.py
+++ b/gypsumspoke/core/takeover.py
@@ -21,12 +21,12 @@
 from gypsumspoke.core.effects import Effect
 from gypsumspoke.core.events import RowsRead
 from gypsumspoke.core.fences import (
-    fence_all,
+    continue_fencing,
     finish_if_fenced,
-    leave_out,
-    pursue_fences,
     read_members,
-    tell_own_records,
+    replicate_own_records,
+    start_fencing,
+    stop_waiting_for,
 )
 from gypsumspoke.core.handoffs import (
     PROBE,
@@ -67,7 +67,7 @@
             return reclaim(state, ownership.partition, now)
         return []
     if ownership.phase is Phase.FENCING:
-        return pursue_fences(state, ownership, now)
+        return continue_fencing(state, ownership, now)
     if (
         ownership.phase is Phase.READING
         and now - ownership.last_request >= READ_RETRY_DELAY
@@ -79,7 +79,7 @@
     ):
         return read_back_claim(ownership, now)
     if ownership.phase is Phase.SERVING and not ownership.remembered:
-        return tell_own_records(state, ownership, now)
+        return replicate_own_records(state, ownership, now)
     return []
 
 
@@ -94,7 +94,7 @@
     for ownership in list(state.owned.values()):
         if ownership.phase is Phase.FENCING:
             ended = {name for name in ownership.required if state.has_ended(name)}
-            leave_out(ownership, ended)
+            stop_waiting_for(ownership, ended)
             effects += finish_if_fenced(state, ownership, now)
     return effects
 
@@ -113,4 +113,4 @@
     if event.rows is None or ownership.phase is not Phase.READING:
         return []
     members = [member_from_row(row) for row in event.rows]
-    return fence_all(state, ownership, members, now)
+    return start_fencing(state, ownership, members, now)
