--- a/gypsumspoke/shell/operator_http.py
+++ b/gypsumspoke/shell/operator_http.py
@@ -19,7 +19,7 @@
 from gypsumspoke.core.errors import ErrorKind
 from gypsumspoke.core.events import Received, WriteOutcome
 from gypsumspoke.core.messages import ManifestUpdate
-from gypsumspoke.core.refusals import refusal_of
+from gypsumspoke.core.refusals import refusal_answer
 from gypsumspoke.core.rows import (
     MANIFEST_KEY,
     MEMBERS_PREFIX,
@@ -66,7 +66,7 @@
     def __init__(self, kind: ErrorKind, detail: str, **more: Any) -> None:
         super().__init__(detail)
         self.kind = kind
-        self.answer = problem(refusal_of(kind, detail), **more)
+        self.answer = problem(refusal_answer(kind, detail), **more)
 
 
 class OperatorHttp:
@@ -198,7 +198,7 @@
         processes = []
         for member in self._live_members():
             version = own if membership.is_self(view, member.incarnation) else None
-            heard = membership.heard(view).get(member.incarnation)
+            heard = membership.last_heartbeats(view).get(member.incarnation)
             if heard is not None:
                 version = heard.heartbeat.manifest_version
             processes.append(
@@ -255,7 +255,7 @@
             "draining": member.draining,
             "reachable": self._is_reachable(member),
         }
-        heard = membership.heard(view).get(member.incarnation)
+        heard = membership.last_heartbeats(view).get(member.incarnation)
         if heard is not None:
             status["leaving"] = heard.heartbeat.leaving
             status["clock_ahead_seconds"] = (
@@ -345,7 +345,7 @@
                 lost = written.outcome is WriteOutcome.LOST
                 kind = ErrorKind.STORE_UNAVAILABLE if lost else ErrorKind.CONFLICT
                 raise _Refused(kind, "the member's row changed meanwhile")
-        self._post(membership.ViewDoubted())
+        self._post(membership.ViewOutdated())
         return changed
 
     def _live_members(self) -> list[Member]:
