--- a/gypsumspoke/core/entry.py
+++ b/gypsumspoke/core/entry.py
@@ -15,17 +15,9 @@
 
 from gypsumspoke.core import quota
 from gypsumspoke.core.admission import entry_refusal, submission_refusal
-from gypsumspoke.core.copies import (
-    give_up,
-    look_after,
-    lose_home,
-    pass_on,
-    pass_on_held,
-    take_answer,
-)
-from gypsumspoke.core.counted import Counter, RetryReason
+from gypsumspoke.core.counters import Counter, RetryReason
 from gypsumspoke.core.effects import Count, Deliver, Effect, Send
-from gypsumspoke.core.entry_state import EntryState, Waiting
+from gypsumspoke.core.entry_state import EntryState, PendingRequest
 from gypsumspoke.core.errors import ErrorKind
 from gypsumspoke.core.events import (
     Drain,
@@ -38,6 +30,14 @@
     Received,
     Tick,
 )
+from gypsumspoke.core.forwarding import (
+    fail_request,
+    forward,
+    forward_held,
+    handle_answer,
+    handle_home_lost,
+    resend_or_expire,
+)
 from gypsumspoke.core.messages import (
     CancelJob,
     JobAnswer,
@@ -46,10 +46,10 @@
     TeamUsage,
 )
 from gypsumspoke.core.partitions import partition_of
-from gypsumspoke.core.refusals import refusal_of
+from gypsumspoke.core.refusals import refusal_answer
 from gypsumspoke.core.values import Answer, JobKey, Member, Role, Submission
 
-QUERY_PATIENCE = timedelta(seconds=5)
+QUERY_TIMEOUT = timedelta(seconds=5)
 
 
 class CallerArrived(NamedTuple):
@@ -135,7 +135,7 @@
     """Answer every waiting request because the process stops before they end."""
     effects: list[Effect] = []
     for request in list(state.waiting):
-        effects += give_up(state, request, now, "the entry stops")
+        effects += fail_request(state, request, now, "the entry stops")
     return effects
 
 
@@ -156,7 +156,7 @@
     submission = event.submission
     partition = partition_of(submission.key, state.partition_count)
     message = SubmitJob(event.request, partition, submission, event.wait)
-    waiting = Waiting(message, submission.key, now, submission.deadline)
+    waiting = PendingRequest(message, submission.key, now, submission.deadline)
     return _accept(state, event.request, waiting, now)
 
 
@@ -164,14 +164,14 @@
 def _on_query(event: QueryArrived, state: EntryState, now: datetime) -> list[Effect]:
     partition = partition_of(event.key, state.partition_count)
     message = QueryJob(event.request, partition, event.key)
-    return _ask(state, message, now)
+    return _forward_request(state, message, now)
 
 
 @_on.register
 def _on_cancel(event: CancelArrived, state: EntryState, now: datetime) -> list[Effect]:
     partition = partition_of(event.key, state.partition_count)
     message = CancelJob(event.request, partition, event.key)
-    return _ask(state, message, now)
+    return _forward_request(state, message, now)
 
 
 @_on.register
@@ -186,24 +186,24 @@
     return []
 
 
-def _ask(
+def _forward_request(
     state: EntryState, message: QueryJob | CancelJob, now: datetime
 ) -> list[Effect]:
     refusal = entry_refusal(state)
     if refusal is None and message.key.team not in state.teams:
-        refusal = refusal_of(ErrorKind.UNKNOWN_TEAM)
+        refusal = refusal_answer(ErrorKind.UNKNOWN_TEAM)
     if refusal is not None:
         return _refuse(message.request, refusal)
-    waiting = Waiting(message, message.key, now, now + QUERY_PATIENCE)
+    waiting = PendingRequest(message, message.key, now, now + QUERY_TIMEOUT)
     return _accept(state, message.request, waiting, now)
 
 
 def _accept(
-    state: EntryState, request: str, waiting: Waiting, now: datetime
+    state: EntryState, request: str, waiting: PendingRequest, now: datetime
 ) -> list[Effect]:
     state.waiting[request] = waiting
     state.waiting_bytes += waiting.size
-    return pass_on(state, waiting, now)
+    return forward(state, waiting, now)
 
 
 def _refuse(request: str, answer: Answer) -> list[Effect]:
@@ -222,7 +222,9 @@
     effects: list[Effect] = []
     for waiting in list(state.waiting.values()):
         if waiting.home == event.incarnation:
-            effects += lose_home(state, waiting, RetryReason.CONNECTION_LOST, now)
+            effects += handle_home_lost(
+                state, waiting, RetryReason.CONNECTION_LOST, now
+            )
     return effects
 
 
@@ -231,7 +233,7 @@
     event: PeerConnected, state: EntryState, now: datetime
 ) -> list[Effect]:
     state.reachable |= {event.incarnation}
-    return pass_on_held(state, now)
+    return forward_held(state, now)
 
 
 @_on.register
@@ -242,8 +244,8 @@
     effects: list[Effect] = []
     for waiting in list(state.waiting.values()):
         if waiting.home and waiting.home not in state.reachable:
-            effects += lose_home(state, waiting, RetryReason.SILENT_HOME, now)
-    return effects + pass_on_held(state, now)
+            effects += handle_home_lost(state, waiting, RetryReason.SILENT_HOME, now)
+    return effects + forward_held(state, now)
 
 
 @_on.register
@@ -262,7 +264,7 @@
         if partition not in moved:
             continue
         if waiting.home != state.partitions[partition].owner:
-            effects += lose_home(state, waiting, RetryReason.HOME_MOVED, now)
+            effects += handle_home_lost(state, waiting, RetryReason.HOME_MOVED, now)
     return effects
 
 
@@ -312,7 +314,7 @@
 def _on_usage(
     message: TeamUsage, state: EntryState, sender: str, now: datetime
 ) -> list[Effect]:
-    quota.note_report(state.quota, message, now)
+    quota.handle_report(state.quota, message, now)
     return []
 
 
@@ -329,7 +331,7 @@
         # A former home no longer speaks for the key unless the job is complete; the
         # copy is with the next home already.
         return [Count(Counter.LATE_ANSWER_DROPPED)]
-    return take_answer(state, waiting, message.answer, now)
+    return handle_answer(state, waiting, message.answer, now)
 
 
 # ---------------------------------------------------------------------------
@@ -340,7 +342,7 @@
 def _on_tick(event: Tick, state: EntryState, now: datetime) -> list[Effect]:
     effects = _report_usage(state, now)
     for request, waiting in list(state.waiting.items()):
-        effects += look_after(state, request, waiting, now)
+        effects += resend_or_expire(state, request, waiting, now)
     return effects
 
 
--- a/gypsumspoke/core/epochs.py
+++ b/gypsumspoke/core/epochs.py
@@ -1,24 +1,24 @@
-"""Epochs: an executor refuses homes that were replaced.
+"""Epochs: an executor refuses requests from homes that have been replaced.
 
-The highest epoch seen for a partition counts, wherever it came from: a fence, the
-partition map, a start, a closed job.
+The highest epoch seen for a partition counts, whether it came from a fence, the
+partition map, a start or a closed job.
 """
 
 from datetime import datetime
 
-from gypsumspoke.core.counted import Counter, RetryReason
+from gypsumspoke.core.counters import Counter, RetryReason
 from gypsumspoke.core.effects import Count, Effect, Send
 from gypsumspoke.core.events import PartitionsChanged
 from gypsumspoke.core.executor_state import ExecutorState
 from gypsumspoke.core.messages import CloseAck, CloseJob, Fence, FenceRefused
 from gypsumspoke.core.start_records import fence_acks
-from gypsumspoke.core.task_starts import drop_waiting, raise_epoch
+from gypsumspoke.core.task_starts import raise_epoch, refuse_waiting
 
 
-def fence(
+def handle_fence(
     message: Fence, sender: str, state: ExecutorState, now: datetime
 ) -> list[Effect]:
-    """Refuse lower epochs from now on and send the records."""
+    """Refuse lower epochs from now on and send the records of the partition."""
     highest = state.epochs.get(message.partition, 0)
     if message.epoch < highest:
         refused = FenceRefused(message.partition, message.epoch, highest)
@@ -34,12 +34,12 @@
     )
 
 
-def close_job(
+def handle_close_job(
     message: CloseJob, sender: str, state: ExecutorState, now: datetime
 ) -> list[Effect]:
-    """Confirm an epoch and keep the jobs that ended under it."""
+    """Confirm an epoch and store the closed jobs."""
     if state.leaving:
-        # The records may have been told on already; this one would be missing there.
+        # The records may have been sent to another executor already, without this one.
         return []
     highest = state.epochs.get(message.partition, 0)
     if message.epoch < highest or not state.map_known:
@@ -50,15 +50,15 @@
     for record in message.closed:
         state.records.close(message.partition, record)
     stale = [waiting for waiting in state.waiting if waiting.start.attempt.key in keys]
-    effects += drop_waiting(state, stale, RetryReason.JOB_CLOSED)
+    effects += refuse_waiting(state, stale, RetryReason.JOB_CLOSED)
     ack = CloseAck(message.partition, message.epoch, message.confirmation)
     return effects + [Send(sender, ack)]
 
 
-def partitions_changed(
+def handle_partitions_changed(
     event: PartitionsChanged, state: ExecutorState, now: datetime
 ) -> list[Effect]:
-    """Take over the epochs of the partition map."""
+    """Apply the epochs of the partition map."""
     state.map_known = True
     effects: list[Effect] = []
     for row in event.rows:
--- a/gypsumspoke/runs/supervisor.py
+++ b/gypsumspoke/runs/supervisor.py
@@ -37,7 +37,7 @@
 from gypsumspoke.runs.supervisor_queue import refuse_waiting, start_waiting
 from gypsumspoke.runs.supervisor_state import SupervisorState
 from gypsumspoke.runs.supervisor_stop import begin_stop, continue_stop
-from gypsumspoke.runs.values import EndReason, WorkerReady
+from gypsumspoke.runs.values import EndReason, WorkerState
 from gypsumspoke.runs.worker_commands import (
     CommandAnswered,
     HeartbeatArrived,
@@ -91,7 +91,7 @@
 @_take.register
 def _(event: HeartbeatArrived, state: SupervisorState, now: datetime) -> list[Effect]:
     effects = supervisor_incarnation.take_registration(state, event.registration, now)
-    if state.worker and state.worker.state is WorkerReady.DRAINING:
+    if state.worker and state.worker.state is WorkerState.DRAINING:
         effects += refuse_waiting(state, EndReason.WORKER_DRAINING, now)
     return [*effects, *start_waiting(state, now)]
 
@@ -100,7 +100,7 @@
 def _(event: WorkerLeft, state: SupervisorState, now: datetime) -> list[Effect]:
     if state.worker is None or state.worker.id != event.id:
         return []
-    state.worker = state.worker._replace(state=WorkerReady.DRAINING)
+    state.worker = state.worker._replace(state=WorkerState.DRAINING)
     log = Log(logging.INFO, "worker left", fields=(("worker", event.id),))
     return [log, *refuse_waiting(state, EndReason.WORKER_DRAINING, now)]
 
@@ -136,12 +136,12 @@
 
 @_take.register
 def _(event: EntriesRead, state: SupervisorState, now: datetime) -> list[Effect]:
-    return state.directory.take_stored(event.addresses)
+    return state.directory.update_from_store(event.addresses)
 
 
 @_take.register
 def _(event: SettingsRead, state: SupervisorState, now: datetime) -> list[Effect]:
-    return state.directory.take_given(event.known_entries)
+    return state.directory.update_from_settings(event.known_entries)
 
 
 # ---------------------------------------------------------------------------
@@ -167,7 +167,7 @@
 def _(
     message: KnownEntries, sender: str, state: SupervisorState, now: datetime
 ) -> list[Effect]:
-    return state.directory.take_told(message.addresses)
+    return state.directory.update_from_peer(message.addresses)
 
 
 def _stop_runs_of_silent_entries(state: SupervisorState, now: datetime) -> list[Effect]:
--- a/gypsumspoke/runs/supervisor_placement.py
+++ b/gypsumspoke/runs/supervisor_placement.py
@@ -19,7 +19,7 @@
     keep_end,
     note_highest,
 )
-from gypsumspoke.runs.values import EndReason, RunEnd, RunId, WorkerReady, fits
+from gypsumspoke.runs.values import EndReason, RunEnd, RunId, WorkerState, fits
 
 
 def take_placed(
@@ -114,7 +114,7 @@
         return EndReason.SIDECAR_STOPPING
     if state.worker is None:
         return EndReason.WORKER_UNKNOWN
-    if state.worker.state is WorkerReady.DRAINING:
+    if state.worker.state is WorkerState.DRAINING:
         return EndReason.WORKER_DRAINING
     if not fits(message.room, state.worker.capacity):
         return EndReason.NO_ROOM_EVER
--- a/tests/runs/lone_sidecar.py
+++ b/tests/runs/lone_sidecar.py
@@ -7,7 +7,7 @@
 from gypsumspoke.runs import supervisor
 from gypsumspoke.runs.directory import Directory
 from gypsumspoke.runs.supervisor_state import SupervisorState
-from gypsumspoke.runs.values import Registration, RunId, WorkerReady
+from gypsumspoke.runs.values import Registration, RunId, WorkerState
 from gypsumspoke.runs.worker_commands import (
     EndedRun,
     HeartbeatArrived,
@@ -22,7 +22,7 @@
 def registration(life: int = LIFE) -> Registration:
     """Return what the worker says of itself in the first heartbeat of a life."""
     return Registration(
-        "w-1", life, 1, SERVICE, WorkerReady.READY, CAPACITY, (), timedelta()
+        "w-1", life, 1, SERVICE, WorkerState.READY, CAPACITY, (), timedelta()
     )
 
 
--- a/tests/runs/worker.py
+++ b/tests/runs/worker.py
@@ -2,7 +2,7 @@
 
 It follows the platform's description of workers as far as best-effort jobs need it, on
 a steady clock of its own that may be slow. It does not guard its capacity; whoever
-tells it to start too much breaks a promise, which is noted in ``broken``.
+tells it to start too much breaks a promise, which is recorded in ``violations``.
 """
 
 from datetime import timedelta
--- a/tests/runs/world.py
+++ b/tests/runs/world.py
@@ -3,7 +3,7 @@
 The real reducers run; only sockets, timers and workers are replaced. A fault is a call
 or a probability, so that a failure test reads as the order of its events, and a
 random walk (``walk.py``) can call them in any order. Broken promises are collected in
-``broken``.
+``violations``.
 """
 
 import heapq
@@ -27,7 +27,7 @@
     Timed,
 )
 from gypsumspoke.runs import coordinator, supervisor
-from gypsumspoke.runs.admission import refuse_behind
+from gypsumspoke.runs.admission import refuse_overloaded
 from gypsumspoke.runs.budget import DEFAULT_BUDGET, Budget
 from gypsumspoke.runs.coordinator_state import (
     AnswerJob,
@@ -50,7 +50,7 @@
     Route,
     RunId,
     Step,
-    WorkerReady,
+    WorkerState,
 )
 from gypsumspoke.runs.worker_commands import (
     CommandAnswered,
@@ -357,7 +357,7 @@
     ) -> tuple[list[Any], timedelta]:
         """Return what comes of an event, and the processor time that it takes."""
         if isinstance(event, JobArrived):
-            refusal = refuse_behind(process.state, event.job.id)
+            refusal = refuse_overloaded(process.state, event.job.id)
             if refusal is not None:
                 answer = AnswerJob(event.request, JobEnd.NOT_RUN, *refusal)
                 return [answer], self.refusal_cost
@@ -443,11 +443,11 @@
         """Return the worker's own clock."""
         return (self.now - self.worker_started_at[host]) * self.clock_rate[host]
 
-    def send_heartbeat(self, host: str, state: WorkerReady = WorkerReady.READY) -> None:
+    def send_heartbeat(self, host: str, state: WorkerState = WorkerState.READY) -> None:
         """Have a worker say what it is now."""
         registration = Registration(
             id=f"w-{host}",
-            born=self.worker_incarnations[host],
+            incarnation=self.worker_incarnations[host],
             sequence=next(self._sequence),
             service=SERVICE,
             state=state,
