--- a/gypsumspoke/core/membership.py
+++ b/gypsumspoke/core/membership.py
@@ -1,13 +1,14 @@
-"""Who is there, who owns what, and which manifest is in force.
+"""Membership: the registered processes, the partition map and the manifest in force.
 
-Each process registers its incarnation in the platform's table, reads the members,
-the partition map and the manifest from there, and learns of changes from the versions
-on its peers' heartbeats. The table is needed to join and to change something; while
-it is down, peers, partitions and manifest stay as last read and heartbeats go on.
+Each process registers its incarnation in the platform's table and reads the members,
+the partition map and the manifest from it. The versions on its peers' heartbeats show
+when to read again. The table is needed to join and to make changes; while it is down,
+the last view stays in use and heartbeats go on.
 
-The order at the start is a safety rule: register first, read the partition map second.
-A new owner writes the map first and reads the registrations second, so one of the two
-always sees the other, and no executor serves a former owner unseen by the next.
+The order at the start matters for safety: a process registers before it reads the
+partition map, and a new owner writes the map before it reads the registrations. One of
+the two always sees the other, so the new owner misses no executor that might still
+serve a former owner.
 """
 
 from datetime import datetime
@@ -29,48 +30,56 @@
 from gypsumspoke.core.heartbeats import (
     catch_up,
     check_clock,
+    expedite_heartbeat,
     expire_unanswered,
-    forgive_own_pause,
-    heartbeat_soon,
     new_heartbeat,
-    note_heard,
-    note_lost,
+    record_reachable,
+    record_unreachable,
+    reset_after_own_pause,
     send_heartbeats,
 )
 from gypsumspoke.core.membership_state import (
-    Heard,
     MembershipState,
     ParseManifest,
     Phase,
+    ReceivedHeartbeat,
 )
 from gypsumspoke.core.membership_view import (
+    apply_manifest,
+    apply_manifest_rows,
+    apply_member_rows,
+    apply_partition_rows,
     merge_partitions,
-    read_manifest,
-    read_members,
-    read_partitions,
-    take_manifest,
 )
 from gypsumspoke.core.messages import Heartbeat, ManifestRequest, ManifestUpdate
 from gypsumspoke.core.policy import Manifest
 from gypsumspoke.core.registration import (
-    abandon_overdue,
     begin_leaving,
-    clean,
-    leave_in_time,
-    not_written,
-    written,
+    delete_ended_row,
+    expire_table_requests,
+    handle_write_committed,
+    handle_write_failed,
+    leave_on_timeout,
 )
 from gypsumspoke.core.rows import MEMBERS_PREFIX, PARTITIONS_PREFIX
-from gypsumspoke.core.table_reads import issue_reads, retry_later, want, want_spaced
+from gypsumspoke.core.table_reads import (
+    issue_reads,
+    schedule_read,
+    schedule_retry,
+    schedule_spaced_read,
+)
 from gypsumspoke.core.values import Load, Member, PartitionRow, Row
 
 
 class Leave(NamedTuple):
-    """Event: all work is done; end the registration. See ``has_left``."""
+    """Event: all work is done; end the registration.
+
+    ``has_left`` returns whether that is finished.
+    """
 
 
-class ViewDoubted(NamedTuple):
-    """Local event: members or map have changed, or seem to; read them again soon."""
+class ViewOutdated(NamedTuple):
+    """Local event: the members or the partition map may be outdated; read them soon."""
 
 
 def new_membership(
@@ -81,7 +90,7 @@
     Args:
       member: this process; ``registered`` is replaced by the time of registration.
       partition_count: number of partitions, the same in every process.
-      seed: for the choice of peers and the spread of retries.
+      seed: seed for the choice of peers and the jitter of retries.
       parse_manifest: turns a manifest's text into a checked manifest.
     """
     return MembershipState(member, partition_count, seed, parse_manifest)
@@ -102,7 +111,7 @@
 
 
 def is_registered(state: MembershipState) -> bool:
-    """Return whether this incarnation stands in the table and has not ended."""
+    """Return whether this incarnation is registered and has not been ended."""
     return state.phase is Phase.REGISTERED and not state.own_ended
 
 
@@ -127,7 +136,7 @@
 
 
 def members(state: MembershipState) -> tuple[Member, ...]:
-    """Return all known members, ended ones included, in the order of their names."""
+    """Return all known members, including ended ones, ordered by incarnation."""
     return state.all_members()
 
 
@@ -152,12 +161,12 @@
 
 
 def reachable(state: MembershipState) -> frozenset[str]:
-    """Return the incarnations that answer heartbeats now."""
+    """Return the incarnations that currently answer heartbeats."""
     return frozenset(state.reachable)
 
 
-def heard(state: MembershipState) -> dict[str, Heard]:
-    """Return the last heartbeat of each peer that is heard, by incarnation."""
+def last_heartbeats(state: MembershipState) -> dict[str, ReceivedHeartbeat]:
+    """Return the last heartbeat of each reachable peer, by incarnation."""
     return dict(state.heartbeats)
 
 
@@ -180,12 +189,12 @@
     if state.phase is Phase.LEFT:
         return []
     if state.phase is Phase.NEW and not state.reads and not state.due:
-        want(state, MEMBERS_PREFIX, now)
-    forgive_own_pause(state, now)
-    effects = abandon_overdue(state, now)
-    effects += leave_in_time(state, now)
+        schedule_read(state, MEMBERS_PREFIX, now)
+    reset_after_own_pause(state, now)
+    effects = expire_table_requests(state, now)
+    effects += leave_on_timeout(state, now)
     effects += issue_reads(state, now)
-    effects += clean(state, now)
+    effects += delete_ended_row(state, now)
     effects += send_heartbeats(state, now)
     effects += expire_unanswered(state, now)
     return effects
@@ -195,7 +204,7 @@
 def _on_drain(event: Drain, state: MembershipState, now: datetime) -> list[Effect]:
     if not state.draining:
         state.draining = True
-        heartbeat_soon(state, now)
+        expedite_heartbeat(state, now)
     return []
 
 
@@ -215,47 +224,47 @@
         return []
     del state.reads[prefix]
     if event.rows is None:
-        retry_later(state, prefix, now)
+        schedule_retry(state, prefix, now)
         return []
     state.failures = 0
     if prefix == MEMBERS_PREFIX:
-        return read_members(state, event.rows, now)
+        return apply_member_rows(state, event.rows, now)
     if prefix == PARTITIONS_PREFIX:
-        return read_partitions(state, event.rows, now)
-    return read_manifest(state, event.rows, now)
+        return apply_partition_rows(state, event.rows, now)
+    return apply_manifest_rows(state, event.rows, now)
 
 
 @_on.register
 def _on_rows_written(
     event: RowsWritten, state: MembershipState, now: datetime
 ) -> list[Effect]:
-    if state.cleaning and state.cleaning.request == event.request:
-        state.cleaning = None
+    if state.deletion and state.deletion.request == event.request:
+        state.deletion = None
         return []
     if state.write is None or state.write.request != event.request:
         return []
     state.write = None
     if event.outcome is WriteOutcome.COMMITTED:
-        return written(state, now)
-    return not_written(state, event.outcome, now)
+        return handle_write_committed(state, now)
+    return handle_write_failed(state, event.outcome, now)
 
 
 @_on.register
 def _on_partitions_changed(
     event: PartitionsChanged, state: MembershipState, now: datetime
 ) -> list[Effect]:
-    # A home tells of rows that it wrote itself; its heartbeats then carry the version.
+    # A home reports rows that it wrote itself; heartbeats then carry their version.
     if merge_partitions(state, event.rows):
-        heartbeat_soon(state, now)
+        expedite_heartbeat(state, now)
     return []
 
 
 @_on.register
 def _on_view_doubted(
-    event: ViewDoubted, state: MembershipState, now: datetime
+    event: ViewOutdated, state: MembershipState, now: datetime
 ) -> list[Effect]:
-    want_spaced(state, MEMBERS_PREFIX, now)
-    want_spaced(state, PARTITIONS_PREFIX, now)
+    schedule_spaced_read(state, MEMBERS_PREFIX, now)
+    schedule_spaced_read(state, PARTITIONS_PREFIX, now)
     return issue_reads(state, now)
 
 
@@ -263,14 +272,14 @@
 def _on_peer_connected(
     event: PeerConnected, state: MembershipState, now: datetime
 ) -> list[Effect]:
-    return note_heard(state, event.incarnation)
+    return record_reachable(state, event.incarnation)
 
 
 @_on.register
 def _on_peer_lost(
     event: PeerLost, state: MembershipState, now: datetime
 ) -> list[Effect]:
-    return note_lost(state, event.incarnation)
+    return record_unreachable(state, event.incarnation)
 
 
 @_on.register
@@ -291,8 +300,8 @@
 def _on_heartbeat(
     message: Heartbeat, state: MembershipState, sender: str, now: datetime
 ) -> list[Effect]:
-    effects = note_heard(state, sender)
-    state.heartbeats[sender] = Heard(message, now)
+    effects = record_reachable(state, sender)
+    state.heartbeats[sender] = ReceivedHeartbeat(message, now)
     if message.answer:
         effects += check_clock(state, sender, message.clock, now)
         state.unanswered.pop(sender, None)
@@ -316,5 +325,5 @@
 def _on_manifest_update(
     message: ManifestUpdate, state: MembershipState, sender: str, now: datetime
 ) -> list[Effect]:
-    state.manifest_asked = None
-    return take_manifest(state, message.version, message.text, now)
+    state.manifest_requested = None
+    return apply_manifest(state, message.version, message.text, now)
--- a/tests/core/test_safeguards.py
+++ b/tests/core/test_safeguards.py
@@ -16,20 +16,20 @@
     home,
     inquiries,
     ledger,
-    refused_marks,
-    self_check,
+    pause_check,
+    record_replication,
+    refused_attempts,
     start_records,
     task_starts,
-    told_records,
 )
-from gypsumspoke.core.counted import RetryReason
+from gypsumspoke.core.counters import RetryReason
 from tests.core import test_executor_starts as starts, test_takeover as histories
 
 LONG_AGO = datetime(2000, 1, 1, tzinfo=timezone.utc)
 
 
 def _without_refusal(reason):
-    with_all = task_starts._refusal
+    with_all = task_starts._refusal_reason
 
     def refusal(state, message, now):
         found = with_all(state, message, now)
@@ -46,12 +46,12 @@
 
 def _settle_unasked(state, confirmation, now):
     state.confirmations.pop(confirmation.partition, None)
-    return endings._settle(state, confirmation, confirmed=True, now=now)
+    return endings._resolve_confirmation(state, confirmation, confirmed=True, now=now)
 
 
 def _uncovered_but_for_the_former_owner(state, ownership, parts, now):
-    found = _UNCOVERED(state, ownership, parts, now)
-    former = ownership.former
+    found = _FIND_UNCOVERED(state, ownership, parts, now)
+    former = ownership.replaced_row
     return found - ({former.owner} if former is not None else set())
 
 
@@ -67,19 +67,19 @@
     __hash__ = int.__hash__
 
 
-_UNCOVERED = fences._uncovered
+_FIND_UNCOVERED = fences._find_uncovered
 
 SWITCHED_OFF = [
     pytest.param(
         task_starts,
-        "_refusal",
+        "_refusal_reason",
         _without_refusal(RetryReason.STALE_EPOCH),
         histories.test_a_paused_home_that_wakes_starts_nothing,
         id="executors refuse lower epochs",
     ),
     pytest.param(
         task_starts,
-        "_refusal",
+        "_refusal_reason",
         _without_refusal(RetryReason.EXECUTOR_JOINING),
         starts.test_nothing_starts_before_the_map_was_read,
         id="executors wait for the map",
@@ -92,15 +92,15 @@
         id="a fence drops waiting tasks",
     ),
     pytest.param(
-        refused_marks.RefusedMarks,
+        refused_attempts.RefusedAttempts,
         "add",
         lambda self, attempt, until: None,
         starts.test_a_try_said_never_seen_does_not_start_when_its_message_comes_late,
         id="refused tries are marked",
     ),
     pytest.param(
-        self_check.SelfCheck,
-        "note_event",
+        pause_check.PauseCheck,
+        "record_event",
         lambda self, now: [],
         histories.test_a_replaced_pair_that_wakes_starts_nothing,
         id="a paused executor asks whether it still counts",
@@ -121,21 +121,21 @@
     ),
     pytest.param(
         fences,
-        "_uncovered",
+        "_find_uncovered",
         lambda state, ownership, parts, now: set(),
         histories.test_keys_whose_records_were_lost_are_unknown,
         id="lost records make old keys unknown",
     ),
     pytest.param(
         fences,
-        "_uncovered",
+        "_find_uncovered",
         _uncovered_but_for_the_former_owner,
         histories.test_a_death_before_the_records_were_told_makes_old_keys_unknown,
         id="the former owner's executor must be covered",
     ),
     pytest.param(
         fences,
-        "cover_as_owner",
+        "owner_cover",
         lambda incarnation, epoch: incarnation,
         histories.test_what_an_owner_told_does_not_cover_later_starts,
         id="an owner's cover ends with its ownership",
@@ -149,20 +149,20 @@
     ),
     pytest.param(
         endings,
-        "_ask_next",
+        "_send_to_next",
         _settle_unasked,
         histories.test_a_paused_home_that_wakes_does_not_say_not_run,
         id="not run is confirmed before it is said",
     ),
     pytest.param(
         home.adoption,
-        "retell_lost",
+        "send_lost_records",
         lambda state, lost, now: [],
         histories.test_a_home_tells_on_what_a_lost_executor_knew,
         id="homes tell on what lost executors knew",
     ),
     pytest.param(
-        told_records,
+        record_replication,
         "OWN_RECORDS",
         AnyEpoch(),
         histories.test_a_replaced_home_does_not_tell_on_what_its_successor_placed,
@@ -195,6 +195,6 @@
 
 
 def test_the_modules_under_test_are_the_ones_in_use():
-    assert dispatch.complete is endings.complete
+    assert dispatch.complete_job is endings.complete_job
     assert fences.floor_birth is ledger.floor_birth
     assert epochs.fence_acks is start_records.fence_acks
--- a/tests/runs/test_overload.py
+++ b/tests/runs/test_overload.py
@@ -2,10 +2,10 @@
 
 from gypsumspoke.core.effects import Send
 from gypsumspoke.runs.admission import expected_wait
-from gypsumspoke.runs.fleet import SidecarView
 from gypsumspoke.runs.messages import PlaceRun
+from gypsumspoke.runs.sidecar_views import SidecarView
 from gypsumspoke.runs.values import JobEnd
-from tests.runs.test_path import settled
+from tests.runs.test_job_lifecycle import settled
 from tests.runs.world import ROUTE, SERVICE, World, job, ms
 
 
@@ -31,7 +31,7 @@
     ends = [world.end_of(f"r{number}") for number in range(12)]
     assert ends.count(JobEnd.COMPLETED) >= 10
     assert placements(world) < 60
-    assert not world.broken
+    assert not world.violations
 
 
 def test_jobs_in_time_go_before_jobs_that_are_late_already():
--- a/tests/runs/test_safeguards.py
+++ b/tests/runs/test_safeguards.py
@@ -12,28 +12,28 @@
 from gypsumspoke.runs import (
     assignment,
     budget,
-    guard_holds,
-    guard_lease,
-    guard_life,
-    guard_orders,
-    guard_placing,
-    guard_waiting,
-    patience,
+    caller_timeouts,
+    supervisor_commands,
+    supervisor_incarnation,
+    supervisor_lease,
+    supervisor_placement,
+    supervisor_queue,
+    supervisor_renewals,
 )
 from gypsumspoke.runs.budget import DEFAULT_BUDGET
 from gypsumspoke.runs.messages import PlaceRun
 from gypsumspoke.runs.values import EndReason, JobEnd, RunId, TaskId
 from tests.runs import (
+    test_caller_timeouts,
     test_faults,
+    test_job_lifecycle,
     test_lost_stops,
     test_orphans,
     test_overload,
-    test_path,
-    test_patience,
     test_reports,
 )
 from tests.runs.lone_sidecar import LoneSidecar
-from tests.runs.test_path import settled
+from tests.runs.test_job_lifecycle import settled
 from tests.runs.world import TASK_ROOM, TASK_TIME, World, job, ms
 
 LONG = timedelta(seconds=60)
@@ -60,13 +60,13 @@
 
 
 def test_an_order_that_was_held_up_does_not_start_beside_the_new_run():
-    assert not order_held_up().broken
+    assert not order_held_up().violations
 
 
 AGAINST_OLD_ORDERS = [
-    (budget.Budget, "order_fresh", LONG),
-    (budget.Budget, "lease_left", lambda self, silence: self.lease),
-    (guard_lease, "_ends_in_budget", lambda state, word: True),
+    (budget.Budget, "max_placement_age", LONG),
+    (budget.Budget, "allowed_lease", lambda self, silence: self.lease),
+    (supervisor_lease, "_ends_in_budget", lambda state, word: True),
 ]
 
 
@@ -77,13 +77,13 @@
     for number, safeguard in enumerate(AGAINST_OLD_ORDERS):
         if number != kept:
             monkeypatch.setattr(*safeguard)
-    assert not order_held_up().broken
+    assert not order_held_up().violations
 
 
 def test_an_order_older_than_its_bound_is_refused():
     sidecar = LoneSidecar()
     sidecar.take_list(ms(3), asked=ms(1), made=ms(2))
-    fresh = DEFAULT_BUDGET.order_fresh
+    fresh = DEFAULT_BUDGET.max_placement_age
     for age, refused in ((fresh - ms(1), False), (fresh + ms(1), True)):
         run = RunId(TaskId(f"j{age}", 0, 0), 1)
         place = PlaceRun(ms(400), run, TASK_ROOM, 1, TASK_TIME, ms(9000), "x")
@@ -92,7 +92,7 @@
 
 
 def assert_nothing_broken(world: World) -> None:
-    assert not world.broken
+    assert not world.violations
 
 
 SAFEGUARDS = [
@@ -119,71 +119,75 @@
     ),
     pytest.param(
         [
-            (budget.Budget, "lease_left", lambda self, silence: self.lease),
+            (budget.Budget, "allowed_lease", lambda self, silence: self.lease),
         ],
         lambda: lose_stops(DEFAULT_BUDGET),
         id="leases end by the last word of an entry whose runs are not stopped",
     ),
     pytest.param(
         [
-            (guard_waiting, "may_start_run", lambda state, guarded, now: True),
+            (supervisor_queue, "may_start_run", lambda state, guarded, now: True),
         ],
         test_lost_stops.test_a_sidecar_that_wakes_starts_no_run_of_a_lost_entry,
         id="nothing starts for an entry that was not heard lately",
     ),
     pytest.param(
         [
-            (budget.Budget, "runs_dead_after", timedelta()),
+            (budget.Budget, "run_expiry", timedelta()),
         ],
         test_faults.test_a_cut_moves_the_task_after_the_budget,
         id="tasks of a silent sidecar wait for the budget",
     ),
     pytest.param(
         [
-            (guard_orders, "hold_room", lambda state, guarded: None),
+            (supervisor_commands, "hold_room", lambda state, guarded: None),
         ],
-        test_path.test_jobs_of_two_entries_share_a_worker_within_its_room,
+        test_job_lifecycle.test_jobs_of_two_entries_share_a_worker_within_its_room,
         id="starts take room",
     ),
     pytest.param(
         [
-            (guard_life, "take_life", lambda state, born, now: None),
-            (guard_holds, "take_life", lambda state, born, now: None),
+            (supervisor_incarnation, "take_life", lambda state, born, now: None),
+            (supervisor_renewals, "take_life", lambda state, born, now: None),
         ],
         test_faults.test_a_worker_that_crashed_is_not_taken_for_full,
         id="a new life counts anew",
     ),
     pytest.param(
         [
-            (guard_holds, "stop_orphans", lambda state, event, is_first: []),
+            (supervisor_renewals, "stop_orphans", lambda state, event, is_first: []),
         ],
         test_faults.test_a_killed_sidecar_is_replaced_and_its_tasks_run_again_soon,
         id="unknown runs are stopped",
     ),
     pytest.param(
         [
-            (budget.Budget, "stop_shows_after", timedelta()),
+            (budget.Budget, "stop_settle_time", timedelta()),
         ],
         test_orphans.test_a_run_that_is_being_stopped_for_a_new_sidecar_is_at_work,
         id="an unknown run counts until its stop has taken effect",
     ),
     pytest.param(
         [
-            (patience.Patience, "waited", lambda self, route, left, now: ms(0)),
+            (
+                caller_timeouts.CallerTimeouts,
+                "waited_elsewhere",
+                lambda self, route, left, now: ms(0),
+            ),
         ],
-        test_patience.test_a_new_job_goes_before_those_that_come_back,
+        test_caller_timeouts.test_a_new_job_goes_before_those_that_come_back,
         id="callers that come back are told from new ones",
     ),
     pytest.param(
         [
-            (assignment, "_time_needed", lambda state, progress: ms(0)),
+            (assignment, "_longest_estimate", lambda state, progress: ms(0)),
         ],
         test_overload.test_a_job_that_can_not_be_in_time_any_more_lets_others_go_before,
         id="jobs that can't be in time any more let others go before",
     ),
     pytest.param(
         [
-            (guard_placing, "_send_back", lambda state, run, now: []),
+            (supervisor_placement, "_send_back", lambda state, run, now: []),
         ],
         test_reports.test_a_run_that_finds_no_room_goes_where_there_is_some,
         id="runs without room are sent back",
@@ -213,18 +217,18 @@
         world.submit("entry0", "r1", job("j1", count=1))
         world.run(ms(50))
         world.silent_workers.add("side0")
-        world.leave("entry0", "r1")
+        world.close_request("entry0", "r1")
         world.submit("entry0", "r2", job("j1", count=1), ms(9000))
         world.run(ms(5000))
         assert world.end_of("r2") is JobEnd.COMPLETED
         return world
 
-    assert not history().broken
+    assert not history().violations
     choose = assignment._choose
 
     def careless(state, progress, task, now):
-        state.ending.pop(task.id, None)
+        state.withdrawn.pop(task.id, None)
         return choose(state, progress, task, now)
 
     monkeypatch.setattr(assignment, "_choose", careless)
-    assert history().broken
+    assert history().violations
