--- a/gypsumspoke/runs/__init__.py
+++ b/gypsumspoke/runs/__init__.py
@@ -1,1 +1,1 @@
-"""Best-effort jobs: leased runs that one entry coordinates and sidecars guard."""
+"""Best-effort jobs: an entry coordinates their runs, and sidecars supervise them."""
--- a/gypsumspoke/runs/admission.py
+++ b/gypsumspoke/runs/admission.py
@@ -1,10 +1,8 @@
-"""Whether a job is taken or refused at once.
+"""Admission control: which jobs an entry accepts and which it refuses.
 
-Load that it answers: more work arrives than the workers do, for seconds. Jobs that
-can't end before their caller stops waiting would take room from those that can, and
-the share of jobs in time falls to nothing. So a job that would end after its caller's
-deadline, behind what waits already, is refused while it is still true that nothing of
-it has run; on arrival, or as soon as it shows.
+A job that would miss its caller's deadline behind the queued work is refused before
+any of it runs, on arrival or later. During overload such jobs would otherwise use the
+room of jobs that can still meet their deadlines.
 """
 
 from datetime import datetime, timedelta
@@ -20,38 +18,34 @@
 from gypsumspoke.runs.sidecar_views import SidecarView, fastest_pace
 from gypsumspoke.runs.values import RefusalReason
 
-# Most jobs that one entry coordinates; each holds some kilobytes.
+# Bounds the memory of one entry.
 MAX_JOBS = 2000
-# Longest that a caller is told to stay away; troubles last seconds.
 MAX_RETRY_AFTER = timedelta(seconds=10)
-# When nothing is known, such as before any worker is, a caller should ask again soon.
+# Used where no wait can be estimated.
 DEFAULT_RETRY_AFTER = timedelta(seconds=1)
 
-
-# Workers register with a sidecar that is new to them within a second or two, and a
-# sidecar finds an entry in about a tenth of one.
+# Time after an entry's start in which its workers register through their sidecars.
 WORKER_DISCOVERY_TIMEOUT = timedelta(seconds=2.5)
-# The first configuration comes with one answer of the store, which may be slow, or of
-# another entry.
+# Time after an entry's start in which the store or a peer sends a configuration.
 FIRST_CONFIGURATION_TIMEOUT = timedelta(seconds=1)
 
 
 class Refusal(NamedTuple):
-    """Why a job is refused, and when coming back may help."""
+    """Why a job is refused, and how long its caller should wait before a retry."""
 
     reason: RefusalReason
     retry_after: timedelta
 
 
 def refuse_overloaded(state: CoordinatorState, job_id: str) -> Refusal | None:
-    """Return why a request is refused unread, or None.
+    """Return a refusal if the entry is overloaded, or None.
 
-    Asked before a request costs more than its header. Copies of a job that runs here
-    are never refused so: "not run" would be untrue. Nor is any by an entry that is cut
-    off: it claims nothing, so that the caller tries another one.
+    Called before the body is read. A resubmission of a job that this entry
+    coordinates is never refused: the answer "not run" could be false. An isolated
+    entry refuses nothing here, as it can't claim that a job has not run.
 
     Args:
-      state: the coordinator's state; what is refused is counted there for the logs.
+      state: the coordinator's state; counts the refusals for the log.
       job_id: the job's id.
     """
     if state.isolated or job_id in state.jobs or not state.load_shedder.should_refuse():
@@ -64,11 +58,10 @@
 def refuse_unservable(
     state: CoordinatorState, event: JobArrived, now: datetime
 ) -> Refusal | None:
-    """Return why a job can't be served whatever the load, or None.
+    """Return a refusal if no worker can serve the job, whatever the load, or None.
 
-    Just after its start an entry does not know its workers yet, and "no worker" would
-    be a guess: after a loss of all processes it would refuse jobs that can still be
-    done in time. They wait until the workers show.
+    An entry that has just started doesn't know its workers yet, so that jobs wait for
+    them instead of being refused.
     """
     if len(state.jobs) >= MAX_JOBS:
         return Refusal(RefusalReason.TOO_MANY_JOBS, DEFAULT_RETRY_AFTER)
@@ -88,28 +81,26 @@
 
 
 def configuration_timeout(state: CoordinatorState, now: datetime) -> timedelta:
-    """Return how long a request waits for the first configuration; zero for not at all.
+    """Return how long a request may wait for the first configuration.
 
-    An entry that has just started can't tell yet whether a request has a route, and a
-    refusal is final for many callers; after a loss of all entries beside a slow store
-    they would be refused for want of a moment. An entry that is still without a
-    configuration after that has no word of when one comes, and refuses at once.
+    An entry that has just started can't route requests before its configuration has
+    arrived. After ``FIRST_CONFIGURATION_TIMEOUT`` it refuses them at once.
     """
-    left = state.started + FIRST_CONFIGURATION_TIMEOUT - now
-    return max(left, timedelta())
+    remaining = state.started + FIRST_CONFIGURATION_TIMEOUT - now
+    return max(remaining, timedelta())
 
 
 def _is_discovering_workers(
     state: CoordinatorState, service: str, now: datetime
 ) -> bool:
-    """Return whether the entry is new and knows no worker of a service yet."""
+    """Return whether the entry has just started and knows no worker of a service."""
     return now - state.started < WORKER_DISCOVERY_TIMEOUT and not has_worker(
         state, service
     )
 
 
 def has_worker(state: CoordinatorState, service: str | None = None) -> bool:
-    """Return whether a worker, of a service or of any, takes work."""
+    """Return whether a worker of a service, or of any service, accepts tasks."""
     return any(_takes_work(view, service) for view in state.views.values())
 
 
@@ -124,7 +115,7 @@
 def refuse_long_queue(
     state: CoordinatorState, event: JobArrived, now: datetime
 ) -> Refusal | None:
-    """Return a refusal if what waits in front keeps a job beyond its deadline."""
+    """Return a refusal if a new job would miss its deadline behind the queue."""
     if _is_discovering_workers(state, event.route.service, now):
         return None
     wait = expected_wait(state, event.route.service, event.route.priority)
@@ -140,7 +131,7 @@
 def refuse_unreachable_deadline(
     state: CoordinatorState, progress: JobProgress, now: datetime
 ) -> Refusal | None:
-    """Return a refusal if a job that has not run can't end before its deadline."""
+    """Return a refusal if a queued job would miss its deadline even if it ran now."""
     pace = fastest_pace(state.views.values(), progress.route.service)
     if now + longest_chain(progress.job) * pace <= progress.deadline:
         return None
@@ -149,10 +140,10 @@
 
 
 def expected_wait(state: CoordinatorState, service: str, priority: int) -> timedelta:
-    """Return how long the work in front of a new job keeps the workers busy.
+    """Return how long the queued work of the same or higher priority takes.
 
-    Only what waits at this entry is known; the other entries take about as much of the
-    workers, so this entry's share of them is one of all entries.
+    An entry sees only its own queue. It assumes that the entries use equal shares of
+    the workers.
     """
     work = 0.0
     for job_id, tasks in state.waiting.items():
@@ -169,8 +160,7 @@
         for view in state.views.values()
         if view.connected and _takes_work(view, service)
     ) / (len(state.entries) + 1)
-    # That no worker takes work is a matter of moments as a rule, and no reason to
-    # refuse jobs whose callers wait for seconds.
+    # Workers that take no work at the moment usually do so again soon.
     return timedelta(seconds=work / share) if share else DEFAULT_RETRY_AFTER
 
 
--- a/gypsumspoke/runs/assignment.py
+++ b/gypsumspoke/runs/assignment.py
@@ -1,11 +1,9 @@
-"""Which waiting task gets the next free room.
-
-Load that it answers: for seconds, more work arrives than the workers do. Tasks wait
-here at the entry, in one order: first by the priority of the route, then jobs that can
-still be in time before those that can't, then by arrival. Without the second rule all
-jobs of a burst become late in turn, each by the time that the one before it took. A
-task that finds no room lets smaller or less demanding ones behind it go on, within a
-bound, so that one wide job does not leave workers idle.
+"""The queue of tasks, and the order in which they are placed.
+
+Jobs are ordered by the priority of their route, then jobs that can still be in time
+before jobs that can't, then by arrival. The second rule keeps a burst from delaying
+every job behind it. A task that finds no room is skipped, up to ``MAX_MISSES`` jobs in
+a round, so that a job with large tasks doesn't leave workers idle.
 """
 
 import logging
@@ -23,13 +21,12 @@
 from gypsumspoke.runs.sidecar_views import SidecarView, fastest_pace, record_placement
 from gypsumspoke.runs.values import RunId
 
-# Jobs in a row that may find no room before a round ends; each costs a look at every
-# worker.
+# Jobs without a placement after which a round ends; each costs a scan of all workers.
 MAX_MISSES = 6
 
 
 def enqueue_ready_steps(state: CoordinatorState, progress: JobProgress) -> None:
-    """Let the tasks of all steps wait whose earlier steps are done."""
+    """Queue the tasks of each step whose preceding steps are done."""
     for number, step in enumerate(progress.job.steps):
         if progress.released[number] or any(progress.remaining[i] for i in step.after):
             continue
@@ -41,12 +38,12 @@
 def enqueue_task(
     state: CoordinatorState, progress: JobProgress, task: TaskProgress
 ) -> None:
-    """Let a task wait for a place."""
+    """Queue a task for placement."""
     state.waiting.setdefault(progress.id, []).append(task)
 
 
 def place_waiting(state: CoordinatorState, now: datetime) -> list[Effect]:
-    """Place the tasks that find room now, the most urgent first."""
+    """Place the queued tasks that fit on a worker now, in the order of their jobs."""
     state.needs_placing_round = False
     if not state.waiting:
         return []
@@ -78,7 +75,7 @@
 
 
 def _longest_estimate(state: CoordinatorState, progress: JobProgress) -> timedelta:
-    """Return the longest estimate of the tasks that wait."""
+    """Return the longest estimate of a job's queued tasks."""
     steps = {task.id.step for task in state.waiting[progress.id]}
     return max(progress.job.steps[number].estimate for number in steps)
 
@@ -86,7 +83,7 @@
 def _place_job(
     state: CoordinatorState, progress: JobProgress, now: datetime
 ) -> list[Effect]:
-    """Place the waiting tasks of one job until one finds no room."""
+    """Place the queued tasks of one job until one finds no room."""
     tasks = state.waiting.pop(progress.id)
     effects: list[Effect] = []
     for position, task in enumerate(tasks):
@@ -101,12 +98,11 @@
 def _choose(
     state: CoordinatorState, progress: JobProgress, task: TaskProgress, now: datetime
 ) -> Choice | None:
-    # An earlier run of the task, of a copy of the job that was given up, may still be
-    # at work; two at once are never allowed.
+    # A withdrawn run of an earlier request for the same job may still be running.
     if state.withdrawn.get(task.id):
         return None
     step = progress.job.steps[task.id.step]
-    wanted = PlacementRequest(
+    request = PlacementRequest(
         progress.route.service,
         step,
         RunId(task.id, task.number + 1),
@@ -115,20 +111,19 @@
     )
     views = _allowed_views(state, progress, task)
     if not task.avoided_hosts:
-        return choose(views, wanted, now)
-    fresh = [view for view in views if view.host not in task.avoided_hosts]
-    # A worker where the task failed or was refused is tried again only where no other
-    # takes work at all. Tried whenever the others are full, one that refuses would get,
-    # and send back, the same tasks without end.
-    if any(is_open_to(view, wanted, now) for view in fresh):
-        return choose(fresh, wanted, now)
-    return choose(views, wanted, now)
+        return choose(views, request, now)
+    preferred = [view for view in views if view.host not in task.avoided_hosts]
+    # A worker where the task failed or was refused is tried again only if no other one
+    # is open, not even a full one. Otherwise it might refuse the same task endlessly.
+    if any(is_open_to(view, request, now) for view in preferred):
+        return choose(preferred, request, now)
+    return choose(views, request, now)
 
 
 def _allowed_views(
     state: CoordinatorState, progress: JobProgress, task: TaskProgress
 ) -> list[SidecarView]:
-    """Return the sidecars that the step's bound per worker allows."""
+    """Return the sidecars that are below the step's bound on tasks per worker."""
     step = progress.job.steps[task.id.step]
     views = list(state.views.values())
     if not step.per_worker:
@@ -147,7 +142,7 @@
     choice: Choice,
     now: datetime,
 ) -> list[Effect]:
-    """Send one run to its sidecar."""
+    """Start the next run of a task on the chosen sidecar."""
     step = progress.job.steps[task.id.step]
     view = choice.view
     run = choice.placement.run
@@ -182,7 +177,6 @@
         ("expected_ms", round(choice.seconds * 1000)),
         ("report_age_ms", round(report_age * 1000)),
     )
-    # The first run of each task is told by the job's own line and by the sidecar; a
-    # line for each would double the volume.
+    # First runs are covered by the lines "job accepted" and "run ended".
     level = logging.DEBUG if task.number == 1 else logging.INFO
     return Log(level, "task placed", task=task.id.index, fields=fields)
--- a/gypsumspoke/runs/coordinator.py
+++ b/gypsumspoke/runs/coordinator.py
@@ -1,8 +1,8 @@
 """The entry's reducer: coordinates best-effort jobs over the connected sidecars.
 
-The entry that takes a job keeps it until it is answered. It needs no store for that: if
-the entry is lost, so is the job, its runs end by the time budget (``runs/budget.py``),
-and the caller sends it again through another entry.
+An entry holds a job in memory until it is answered. If the entry is lost, the runs of
+its jobs end within the time budget (``runs/budget.py``), and the callers send the jobs
+again through another entry.
 """
 
 import logging
@@ -64,33 +64,33 @@
 )
 from gypsumspoke.runs.values import JobEnd, RefusalReason
 
-# A line for each refusal would cost more than the refusal.
+# One log line covers all refusals of an interval: a line costs more than a refusal.
 REFUSED_LOG_INTERVAL = timedelta(seconds=1)
 
 _MILLISECOND = timedelta(milliseconds=1)
 
 
 def reduce(state: CoordinatorState, event: Any, now: datetime) -> list[Effect]:
-    """Take one event.
+    """Handle one event and end the turn.
 
     Args:
       state: the coordinator's state, changed in place.
-      event: an event of ``coordinator_state.py`` or ``core/events.py``; without the
-        times of its arrival it arrives now.
+      event: an event of ``coordinator_state.py`` or ``core/events.py``, wrapped in
+        ``Timed`` unless it arrives now.
       now: the current time of a steady clock.
 
     Returns:
-      What is to be done.
+      The effects to be carried out.
     """
     effects = handle_event(state, event, now)
     return [*effects, *handle_event(state, TURN_ENDED, now)]
 
 
 def handle_event(state: CoordinatorState, event: Any, now: datetime) -> list[Effect]:
-    """Take one of several events that ``TurnEnded`` follows.
+    """Handle one event of a turn that ``TurnEnded`` ends.
 
-    Room that reports and ends bring is given out once, after all of them: a round costs
-    an entry with many sidecars far more than the events do.
+    Reports and run ends only mark the state; tasks are placed once at the end of the
+    turn, since a placing round is far more expensive than an event.
 
     Args:
       state: the coordinator's state, changed in place.
@@ -98,7 +98,7 @@
       now: the current time of a steady clock.
 
     Returns:
-      What is to be done.
+      The effects to be carried out.
     """
     if isinstance(event, Timed):
         state.arrival, event = event
@@ -109,10 +109,10 @@
 
 
 def is_ready(state: CoordinatorState, now: datetime) -> bool:
-    """Return whether new connections should come to this entry.
+    """Return whether the load balancer should send new connections to this entry.
 
-    A new one waits for its first worker, so that callers go to entries that have some;
-    but not for ever, since it can also tell callers that there is none.
+    An entry that has just started is ready with its first worker, or without one after
+    ``WORKER_DISCOVERY_TIMEOUT``, when it can refuse jobs for lack of workers.
     """
     if state.table is None or state.draining is not None or state.isolated:
         return False
@@ -130,9 +130,9 @@
 
 @_handle.register
 def _(event: JobArrived, state: CoordinatorState, now: datetime) -> list[Effect]:
-    known = state.jobs.get(event.job.id)
-    if known is not None:
-        return _attach_request(state, known, event)
+    existing = state.jobs.get(event.job.id)
+    if existing is not None:
+        return _attach_request(state, existing, event)
     if state.isolated:
         refusal = Refusal(RefusalReason.ISOLATED, DEFAULT_RETRY_AFTER)
         return refuse(event.request, event.job.id, refusal, JobEnd.GIVEN_UP)
@@ -151,18 +151,18 @@
 def _waited_elsewhere(
     state: CoordinatorState, event: JobArrived, now: datetime
 ) -> timedelta:
-    patience = event.deadline - now
-    waited = state.caller_timeouts.waited_elsewhere(event.route.name, patience, now)
-    state.caller_timeouts.record(event.route.name, patience)
+    timeout = event.deadline - now
+    waited = state.caller_timeouts.waited_elsewhere(event.route.name, timeout, now)
+    state.caller_timeouts.record(event.route.name, timeout)
     return waited
 
 
 def _attach_request(
     state: CoordinatorState, progress: JobProgress, event: JobArrived
 ) -> list[Effect]:
-    """Let another copy of a job wait for the answer to the first.
+    """Attach a resubmission to the job in progress; both get the same answer.
 
-    Run apart, both copies would have runs of one task at work at once.
+    Coordinated separately, the two would run the same task twice at once.
     """
     progress.requests.append(event.request)
     progress.deadline = max(progress.deadline, event.deadline)
@@ -241,7 +241,7 @@
 
 
 # ---------------------------------------------------------------------------
-# Whom to connect to
+# Directory of entries and stored caller timeouts
 
 
 @_handle.register
@@ -255,7 +255,7 @@
 ) -> list[Effect]:
     state.caller_timeouts.update_stored(event)
     fields = (("entries", len(event.stored)),)
-    return [Log(logging.INFO, "usual patience read", fields=fields)]
+    return [Log(logging.INFO, "caller timeouts read", fields=fields)]
 
 
 @_handle.register
@@ -285,15 +285,15 @@
     effects += check_silent_sidecars(state, now)
     effects += _log_refused_unread(state, now)
     effects += _end_overdue_jobs(state, now)
-    keep = state.caller_timeouts.to_store(now)
-    if keep is not None:
-        effects.append(keep)
+    store = state.caller_timeouts.to_store(now)
+    if store is not None:
+        effects.append(store)
     effects += place_waiting(state, now)
     return [*effects, *continue_stop(state, now)]
 
 
 def _log_refused_unread(state: CoordinatorState, now: datetime) -> list[Effect]:
-    """Return the log line of the jobs that were refused unread."""
+    """Return the log line of the jobs that were refused before they were read."""
     since = now - state.refused_unread_logged_at
     if not state.refused_unread or since < REFUSED_LOG_INTERVAL:
         return []
@@ -308,7 +308,7 @@
 
 
 def _end_overdue_jobs(state: CoordinatorState, now: datetime) -> list[Effect]:
-    """Answer jobs that can't end before their deadline any more."""
+    """End jobs that are past their deadline or can't meet it any more."""
     effects: list[Effect] = []
     for progress in list(state.jobs.values()):
         if now >= progress.deadline:
--- a/gypsumspoke/runs/coordinator_configuration.py
+++ b/gypsumspoke/runs/coordinator_configuration.py
@@ -1,7 +1,7 @@
-"""Which configuration is in force at an entry: the newest that it has heard of.
+"""The configuration in force at an entry: the newest version that it has received.
 
-It comes from the store, or from another entry where the store turns this one away. A
-lower version than the one in force is ignored, so that nothing ever goes back.
+It comes from the store, or from another entry if the store is out of reach. Versions
+below the one in force are ignored.
 """
 
 import logging
@@ -26,23 +26,23 @@
 def handle_changed(
     event: ConfigurationChanged, state: CoordinatorState, now: datetime
 ) -> list[Effect]:
-    """Take what the store holds."""
+    """Apply the configuration read from the store."""
     return _apply(state, event, "store", now)
 
 
 def _apply(
     state: CoordinatorState, event: ConfigurationChanged, source: str, now: datetime
 ) -> list[Effect]:
-    """Put a configuration in force if it is newer than the one that is."""
+    """Put a configuration in force if it is newer than the current one."""
     version = event.table.configuration.version
-    known = state.version
-    if version <= known:
+    current = state.version
+    if version <= current:
         return []
     state.table = event.table
     state.text = event.text
-    fields = (("version", version), ("replaced", known), ("source", source))
+    fields = (("version", version), ("replaced", current), ("source", source))
     effects: list[Effect] = [Log(logging.INFO, "configuration in force", fields=fields)]
-    if known == 0:
+    if current == 0:
         effects.append(FirstConfiguration())
     for entry in sorted(state.entries):
         effects.append(Send(entry, ConfigurationOffer(version)))
@@ -52,7 +52,7 @@
 def handle_offer(
     message: ConfigurationOffer, sender: str, state: CoordinatorState, now: datetime
 ) -> list[Effect]:
-    """Ask another entry for its configuration if that is newer."""
+    """Request the configuration of another entry if it is newer."""
     state.entries.add(sender)
     if message.version <= state.version:
         return []
@@ -62,7 +62,7 @@
 def handle_request(
     message: ConfigurationRequest, sender: str, state: CoordinatorState, now: datetime
 ) -> list[Effect]:
-    """Send the configuration in force, if there is one."""
+    """Send the configuration in force to another entry."""
     if state.table is None:
         return []
     return [Send(sender, ConfigurationText(state.version, state.text))]
@@ -71,7 +71,7 @@
 def handle_text(
     message: ConfigurationText, sender: str, state: CoordinatorState, now: datetime
 ) -> list[Effect]:
-    """Take the configuration of another entry."""
+    """Apply the configuration of another entry."""
     parsed = state.parse_configuration(message.text)
     if not is_successful(parsed):
         fields = (("from", sender), ("error", parsed.failure()))
--- a/gypsumspoke/runs/coordinator_sidecars.py
+++ b/gypsumspoke/runs/coordinator_sidecars.py
@@ -1,4 +1,4 @@
-"""What an entry does as its sidecars come, report, fall silent and go."""
+"""How an entry handles connections, reports and silence of its sidecars."""
 
 import logging
 from datetime import datetime, timedelta
@@ -27,17 +27,16 @@
 )
 from gypsumspoke.runs.values import EndReason, RunEnd
 
-# A sidecar that is gone is forgotten after this; its runs are long dead.
+# Time after which a disconnected sidecar is dropped from the state.
 FORGET_DELAY = timedelta(seconds=30)
-# A sidecar without runs of this entry needs no proof that it lives; this only tells it
-# that the connection still works, twice before it would take it for dead.
+# Pulses to a sidecar without runs of this entry only keep the connection alive.
 IDLE_PULSE_INTERVAL = timedelta(milliseconds=250)
 
 
 def handle_connected(
     event: PeerConnected, state: CoordinatorState, now: datetime
 ) -> list[Effect]:
-    """Greet a peer; ask a known sidecar what became of the runs placed there."""
+    """Send a new peer the known entries; ask a known sidecar about its open runs."""
     effects: list[Effect] = [
         Send(event.incarnation, KnownEntries(state.directory.known)),
         Send(event.incarnation, ConfigurationOffer(state.version)),
@@ -46,7 +45,7 @@
     if view is not None:
         restart_connection(view, state.arrival.read)
         state.disconnected.discard(event.incarnation)
-        # Ends may have been lost with the earlier connection, and so may placements.
+        # Placements and run ends may have been lost with the earlier connection.
         for run in view.open_runs:
             is_wanted = PlacedRun(event.incarnation, run) in state.by_run
             ask = AskRun(run) if is_wanted else WithdrawRun(run)
@@ -57,7 +56,7 @@
 def handle_connection_lost(
     event: PeerLost, state: CoordinatorState, now: datetime
 ) -> list[Effect]:
-    """Place nothing there any more; what runs there goes on until it is known dead."""
+    """Mark a sidecar as disconnected; its runs count until they must have ended."""
     state.entries.discard(event.incarnation)
     view = state.views.get(event.incarnation)
     if view is None:
@@ -71,7 +70,7 @@
 def handle_worker_report(
     message: WorkerReport, sender: str, state: CoordinatorState, now: datetime
 ) -> list[Effect]:
-    """Take what a sidecar says of its worker."""
+    """Update the view of a sidecar and decide whether to answer with a pulse."""
     view = state.views.get(sender)
     effects = end_isolation(state)
     if view is None:
@@ -79,15 +78,15 @@
         state.views[sender] = view
         fields = (("sidecar", sender), ("worker", message.worker))
         effects.append(Log(logging.INFO, "sidecar found", fields=fields))
-    was_taking = view.report is not None and view.report.takes_work
-    before = make_offer(view, now) if state.waiting else None
+    took_work = view.report is not None and view.report.takes_work
+    previous = make_offer(view, now) if state.waiting else None
     update_report(view, message, state.arrival.read)
-    if state.waiting and may_allow_placement(make_offer(view, now), before):
+    if state.waiting and may_allow_placement(make_offer(view, now), previous):
         state.needs_placing_round = True
     if now - view.last_sent_at >= _pulse_interval(state, view):
         view.last_sent_at = now
         effects.append(Send(sender, Pulse(message.stamp)))
-    if was_taking is not message.takes_work:
+    if took_work is not message.takes_work:
         effects.append(_log_changed(view))
     if message.clean:
         effects += _end_runs_of_replaced(state, view, now)
@@ -95,7 +94,7 @@
 
 
 def _pulse_interval(state: CoordinatorState, view: SidecarView) -> timedelta:
-    """Return how often a sidecar must hear this entry."""
+    """Return the longest time between two messages to a sidecar."""
     interval = state.budget.pulse_interval
     return interval if view.open_runs else max(interval, IDLE_PULSE_INTERVAL)
 
@@ -113,7 +112,7 @@
 def handle_run_ended(
     message: RunEnded, sender: str, state: CoordinatorState, now: datetime
 ) -> list[Effect]:
-    """Free the room of a run and go on with its task."""
+    """Free the room of an ended run and continue its task."""
     view = state.views.get(sender)
     if view is not None:
         record_run_end(view, message.run, ran=message.took is not None)
@@ -122,21 +121,20 @@
 
 
 def instance_name(incarnation: str) -> str:
-    """Return the name of the instance that a process runs on."""
+    """Return the name of the instance that runs a process."""
     return incarnation.rpartition("-")[0]
 
 
 def _end_runs_of_replaced(
     state: CoordinatorState, view: SidecarView, now: datetime
 ) -> list[Effect]:
-    """Give up what was placed on earlier processes of the same instance.
+    """Mark the runs on earlier incarnations of a sidecar as lost.
 
-    The new process says that nothing they started runs any more. A late report of an
-    earlier one says nothing of those after it.
+    Called when the new incarnation reports that none of those runs is left.
     """
     effects: list[Effect] = []
-    # Few are lost at any time; to look at all sidecars at each report of each would
-    # cost an entry processor time that grows with the square of their number.
+    # Scans only disconnected sidecars: scanning all of them at each report would take
+    # time quadratic in their number.
     for incarnation in sorted(state.disconnected):
         other = state.views[incarnation]
         if other.host == view.host and other.first_seen < view.first_seen:
@@ -146,9 +144,10 @@
 
 
 def check_silent_sidecars(state: CoordinatorState, now: datetime) -> list[Effect]:
-    """Give up what silent sidecars ran, and forget those that are gone.
+    """Mark the runs of silent sidecars as lost, and forget disconnected sidecars.
 
-    What an entry that is behind has not read yet is no silence.
+    Silence is measured up to the last time at which all received data had been read,
+    so that an overloaded entry doesn't take its own delay for silence.
     """
     effects: list[Effect] = []
     heard = state.arrival.heard
@@ -168,7 +167,7 @@
 def _end_lost_runs(
     state: CoordinatorState, view: SidecarView, now: datetime
 ) -> list[Effect]:
-    """Place again what was placed on a sidecar whose runs are all dead."""
+    """End the open runs of a sidecar as lost, so that their tasks run again."""
     state.needs_placing_round = True
     effects: list[Effect] = []
     for run in list(view.open_runs):
--- a/gypsumspoke/runs/coordinator_state.py
+++ b/gypsumspoke/runs/coordinator_state.py
@@ -1,4 +1,4 @@
-"""What an entry knows of the jobs that it coordinates."""
+"""State of the coordinator in an entry, its events and its effects."""
 
 from collections.abc import Callable
 from datetime import datetime, timedelta
@@ -10,7 +10,7 @@
 from gypsumspoke.runs.budget import DEFAULT_BUDGET, Budget
 from gypsumspoke.runs.caller_timeouts import CallerTimeouts
 from gypsumspoke.runs.directory import Directory
-from gypsumspoke.runs.load_shedding import LoadShedder
+from gypsumspoke.runs.load import LoadShedder
 from gypsumspoke.runs.routing import RoutingTable
 from gypsumspoke.runs.sidecar_views import SidecarView
 from gypsumspoke.runs.values import (
@@ -26,12 +26,12 @@
 
 
 class JobArrived(NamedTuple):
-    """Event: a caller sent a job and waits.
+    """Event: a caller sent a job and waits for the answer.
 
     Attributes:
-      request: identity of this request at this entry.
+      request: id of the request at this entry.
       job: the job.
-      route: the route it came by.
+      route: the route that matched the request.
       deadline: when the caller stops waiting.
     """
 
@@ -54,24 +54,25 @@
 
 
 class ConfigurationChanged(NamedTuple):
-    """Event: a configuration was read; older ones are ignored."""
+    """Event: a configuration was read from the store."""
 
     table: RoutingTable
     text: str
 
 
 class FirstConfiguration(NamedTuple):
-    """Effect: requests that wait for the first configuration may go on."""
+    """Effect: release the requests that wait for the first configuration."""
 
 
 class AnswerJob(NamedTuple):
-    """Effect: hand the final answer to the caller.
+    """Effect: answer a request.
 
     Attributes:
       request: as in JobArrived.
-      end: what became of the job.
+      end: the outcome of the job.
       reason: why it was refused or given up; None otherwise.
-      retry_after: when coming back helps; None where it does not.
+      retry_after: how long the caller should wait before a retry; None if a retry
+        doesn't help.
     """
 
     request: str
@@ -81,10 +82,10 @@
 
 
 class PlacedRun(NamedTuple):
-    """A run where it was placed.
+    """A run together with the sidecar incarnation that it was placed on.
 
-    Copies of a job number their runs anew, so the number alone does not tell the run of
-    one from that of another, which a sidecar may still have.
+    A resubmitted job numbers its runs from 1 again, so that the id of a run alone is
+    ambiguous while runs of an earlier request are left.
     """
 
     sidecar: str
@@ -92,17 +93,17 @@
 
 
 class TaskProgress:
-    """One task of a job.
+    """Progress of one task of a job.
 
     Attributes:
       id: the task.
-      run: its latest run; None before the first.
-      view: the sidecar of that run; None while it waits for a place.
+      run: its open or completed run; None while it waits for placement.
+      view: the sidecar of that run; None while it waits for placement.
       done: whether it is complete.
-      failed: how many runs ended failed.
+      failures: number of runs that failed.
       number: number of its latest run.
-      avoided: instances where it failed or was refused.
-      has_started: whether an ended run of it had started.
+      avoided_hosts: instances where it failed or was refused.
+      has_started: whether any of its ended runs had started.
     """
 
     def __init__(self, task: TaskId) -> None:
@@ -117,19 +118,19 @@
 
 
 class JobProgress:
-    """One job whose callers wait.
+    """Progress of one job whose callers wait.
 
     Attributes:
-      job, route: what was sent, and by which route.
-      requests: the requests that wait for the answer; more than one where copies came.
-      arrived: when the first copy came.
-      waited: how long its caller had waited elsewhere then.
-      aim: when the job is late.
+      job, route: the job, and the route that matched its request.
+      requests: the requests that wait for the answer: the first and resubmissions.
+      arrived: when the first of them arrived.
+      waited_elsewhere: how long its caller had waited at other entries by then.
+      due: when the job becomes late.
       deadline: when the last caller stops waiting.
       tasks: all tasks, by step.
-      left: for each step, how many of its tasks are not done.
-      opened: for each step, whether its tasks may run.
-      placed: how many runs were placed.
+      remaining: for each step, the number of its tasks that are not done.
+      released: for each step, whether its tasks have been queued.
+      placed: number of placed runs.
     """
 
     def __init__(
@@ -157,12 +158,12 @@
 
 
 def time_allowed(job: Job, route: Route) -> timedelta:
-    """Return how long a job may take by the terms of its route."""
+    """Return how long a job may take by the latency target of its route."""
     return longest_chain(job) * route.stretch + route.target_latency
 
 
 def longest_chain(job: Job) -> timedelta:
-    """Return the estimated time of the steps that must run one after another."""
+    """Return the estimated time of the longest chain of dependent steps."""
     ends: list[timedelta] = []
     for step in job.steps:
         before = max((ends[number] for number in step.after), default=timedelta())
@@ -175,30 +176,31 @@
 
     Attributes:
       views: sidecars by incarnation.
-      lost: those of them that are not connected.
+      disconnected: incarnations of the sidecars that are not connected.
       jobs: jobs by id.
       by_request: the job id of each waiting request.
       by_run: the job id of each open run that was not withdrawn.
-      ending: withdrawn runs that may still be at work, by task.
-      waiting: tasks without a place, by job id.
-      has_new_room: whether tasks may find a place that found none when last tried.
+      withdrawn: withdrawn runs that may still be running, by task.
+      waiting: queued tasks by job id.
+      needs_placing_round: whether a queued task may fit on a worker since the last
+        placing round.
       table: the configuration in force; None before the first.
       text: its text as the operators wrote it.
-      arrival: when the event that is handled now had arrived.
-      load: how far this entry is behind.
-      refused_behind: jobs refused for that since the latest log line of them.
-      refused_behind_told: when that line was written.
-      ticked: when the latest tick came.
-      awake_since: when this process started, or went on after its latest pause.
-      isolated: whether no sidecar at all is heard.
-      draining: when the graceful stop began.
-      left: the stop is complete.
+      arrival: arrival times of the current event.
+      load_shedder: decides which jobs are refused while this entry is overloaded.
+      refused_unread: jobs refused by it since the latest log line about them.
+      refused_unread_logged_at: when that line was written.
+      last_tick: time of the latest tick.
+      running_since: when this process started or resumed after its latest pause.
+      isolated: whether all sidecars are silent.
+      draining: when the graceful stop began; None before.
+      stopped: whether the graceful stop is complete.
       entries: connected entries.
-      patience: how long callers wait as a rule.
+      caller_timeouts: the usual timeouts of callers, by route.
 
     Args:
-      parse_configuration: reads a text that another entry sent.
-      directory: whom this entry connects to.
+      parse_configuration: parses the text that another entry sent.
+      directory: the addresses that this entry connects to.
       now: when it starts.
       budget: the time budget of all runs.
       remote_slowdown: factor on a task's run time away from its data.
--- a/gypsumspoke/runs/coordinator_stop.py
+++ b/gypsumspoke/runs/coordinator_stop.py
@@ -1,7 +1,7 @@
 """The graceful stop of an entry.
 
-It takes requests on open connections for a while, so that none is refused that the
-balancer has already sent, and answers all of them before it ends.
+It still accepts requests on open connections until the load balancer has noticed the
+stop, and answers all jobs before it exits.
 """
 
 import logging
@@ -13,10 +13,9 @@
 from gypsumspoke.runs.job_ends import give_up
 from gypsumspoke.runs.values import RefusalReason
 
-# A stopping entry goes on taking requests on open connections until the platform's
-# balancer has missed two checks, a second apart, and sends nothing new.
+# The load balancer sends nothing new after two failed readiness checks, a second apart.
 MIN_DRAIN = timedelta(seconds=2.6)
-# It ends at the latest then: before the platform kills it, some seconds after SIGTERM.
+# Ends before the platform sends SIGKILL.
 MAX_DRAIN = timedelta(seconds=5.4)
 
 
@@ -29,7 +28,7 @@
 
 
 def continue_stop(state: CoordinatorState, now: datetime) -> list[Effect]:
-    """End the process when its jobs are answered, or time is up."""
+    """Exit when all jobs are answered, or after ``MAX_DRAIN``."""
     if state.draining is None or state.stopped:
         return []
     since = now - state.draining
--- a/gypsumspoke/runs/isolation.py
+++ b/gypsumspoke/runs/isolation.py
@@ -1,10 +1,8 @@
-"""Whether an entry is cut off from all sidecars.
+"""Detection of an entry that is cut off from all sidecars.
 
-Callers may still reach an entry that reaches no sidecar. Whatever it took would wait
-there until it is too late, though other entries could serve it. So an entry that hears
-no sidecar says that it is not ready, gives up what it has, and what comes, at once. It
-claims nothing of these jobs: their callers send them again through another entry, after
-the old runs are dead by the time budget.
+An entry that hears no sidecar reports that it is not ready and gives up all jobs at
+once, so that their callers can use other entries. It doesn't claim that these jobs have
+not run; callers send them again after the time budget, when the old runs have ended.
 """
 
 import logging
@@ -15,23 +13,21 @@
 from gypsumspoke.runs.job_ends import finish
 from gypsumspoke.runs.values import JobEnd, RefusalReason
 
-# Longer than it takes to close connections that went silent and to make new ones: no
-# sidecar at all is heard then, and yet none is out of reach.
+# Longer than replacing all silent connections takes.
 ISOLATION_TIMEOUT = timedelta(milliseconds=1250)
-# Several ticks. After a longer pause of this process what the sidecars sent meanwhile
-# is still unread, and their silence says nothing.
+# After such a pause between two ticks, messages of the sidecars may still be unread.
 MIN_PROCESS_PAUSE = timedelta(milliseconds=500)
 
 
 def check_isolation(state: CoordinatorState, now: datetime) -> list[Effect]:
-    """Give up all jobs if no sidecar was heard for too long. Called at each tick."""
+    """Give up all jobs if all sidecars have been silent too long. Called at ticks."""
     if now - state.last_tick > MIN_PROCESS_PAUSE:
         state.running_since = now
     state.last_tick = now
     if state.isolated or not state.views:
         return []
     heard = max(view.reported_at for view in state.views.values())
-    # What this entry has not read yet, being behind, is no silence of the sidecars.
+    # Unread messages don't count as silence.
     silence = state.arrival.heard - max(heard, state.running_since)
     if silence < ISOLATION_TIMEOUT:
         return []
@@ -49,7 +45,7 @@
 
 
 def end_isolation(state: CoordinatorState) -> list[Effect]:
-    """Take jobs again: a sidecar was heard."""
+    """Accept jobs again after a message from a sidecar."""
     if not state.isolated:
         return []
     state.isolated = False
--- a/gypsumspoke/runs/job_ends.py
+++ b/gypsumspoke/runs/job_ends.py
@@ -1,4 +1,4 @@
-"""How a job ends: the answer to its callers, and the end of what still runs."""
+"""The end of a job: answers to its callers and withdrawal of its runs."""
 
 import logging
 from datetime import datetime, timedelta
@@ -22,7 +22,7 @@
 def refuse(
     request: str, job_id: str, refusal: Refusal, end: JobEnd = JobEnd.NOT_RUN
 ) -> list[Effect]:
-    """Refuse a request of whose job nothing runs here."""
+    """Refuse a request for a job that this entry doesn't coordinate."""
     fields = (
         ("job", job_id),
         ("request", request),
@@ -44,13 +44,13 @@
     now: datetime,
     retry_after: timedelta = DEFAULT_RETRY_AFTER,
 ) -> list[Effect]:
-    """Answer at once; "not run" only if no run of the job can have started."""
+    """End a job early, as "not run" only if none of its runs can have started."""
     end = JobEnd.GIVEN_UP if may_have_run(progress) else JobEnd.NOT_RUN
     return finish(state, progress, end, reason, now, retry_after)
 
 
 def may_have_run(progress: JobProgress) -> bool:
-    """Return whether any run of the job started, or may have."""
+    """Return whether any run of the job has started or is uncertain."""
     return any(
         task.done or task.has_started or task.run is not None
         for tasks in progress.tasks
@@ -66,7 +66,7 @@
     now: datetime,
     retry_after: timedelta = DEFAULT_RETRY_AFTER,
 ) -> list[Effect]:
-    """Answer all callers of a job and withdraw what is left of it."""
+    """Answer all callers of a job and withdraw its open runs."""
     effects: list[Effect] = []
     for tasks in progress.tasks:
         for task in tasks:
@@ -83,7 +83,7 @@
 
 
 def withdraw(state: CoordinatorState, task: TaskProgress) -> list[Effect]:
-    """Have the open run of a task stopped or not started."""
+    """Withdraw the open run of a task: the sidecar stops it or doesn't start it."""
     if task.run is None:
         return []
     placed = PlacedRun(task.view.incarnation, task.run)
--- a/gypsumspoke/runs/load_shedding.py
+++ b/gypsumspoke/runs/load.py
@@ -1,33 +1,29 @@
-"""What share of new jobs an entry that is behind still takes.
+"""Load shedding: which share of new jobs an overloaded entry refuses.
 
-Load that it answers: for seconds, more jobs come to an entry than its own processor
-carries, while the workers have room. An entry that takes all of them gets later with
-each: orders reach sidecars too old to be taken, work is done again, and the more jobs
-come, the fewer it answers. Refused at the door, a job costs little, and the others are
-answered as fast as before.
+An entry that accepts more jobs than its own processor can handle falls behind: its
+placements reach sidecars too late and are refused, and tasks run again. Refusing jobs
+early is cheap and keeps the other jobs fast.
 
-The processor is withheld for moments also where it suffices. So the lag that counts is
-the standing one: the smallest within some ticks, which is near zero in an entry that
-catches up between two bursts.
+The share depends on the standing lag, the smallest lag of events within some ticks. It
+is near zero in an entry that catches up between bursts.
 """
 
 from datetime import datetime, timedelta
 
-# The standing lag is the smallest of one to two such spans.
+# The standing lag is the minimum over the current and the previous window.
 WINDOW_TICKS = 2.0
-# From this standing lag on new jobs are refused, the more the larger it is. At one tick
-# all are: a report may be a tick and a half old, and an order that is decided on it a
-# tick later is still taken, within ORDER_FRESH_TICKS.
+# The refused share grows from none to all jobs between these standing lags. At the
+# upper one, sidecars still accept placements that are based on their latest reports.
 MIN_REFUSING_LAG_TICKS = 0.25
 FULL_REFUSING_LAG_TICKS = 1.0
 
 
 class LoadShedder:
-    """How far an entry is behind.
+    """Decides which new jobs to refuse from the lag of handled events.
 
     Args:
       tick: the tick of the time budget.
-      now: when it begins.
+      now: start of the first window.
     """
 
     def __init__(self, tick: timedelta, now: datetime) -> None:
@@ -41,13 +37,13 @@
 
     @property
     def standing_lag(self) -> timedelta:
-        """The lag that does not go away between two bursts."""
+        """The smallest lag of the current and the previous window."""
         if self._min_lag is None:
             return self._previous_min_lag
         return min(self._min_lag, self._previous_min_lag)
 
     def record_lag(self, lag: timedelta, now: datetime) -> None:
-        """Take the lag of an event that is handled now."""
+        """Record the lag of an event that is being handled."""
         if now - self._window_start >= self._window:
             if self._min_lag is not None:
                 self._previous_min_lag = self._min_lag
@@ -58,7 +54,7 @@
 
     @property
     def refused_share(self) -> float:
-        """Share of the new jobs that is refused now."""
+        """Share of new jobs to refuse, from 0 to 1."""
         return min(
             max(
                 (self.standing_lag - self._min_refusing_lag)
@@ -69,7 +65,10 @@
         )
 
     def should_refuse(self) -> bool:
-        """Return whether the next new job is refused, so that the share is."""
+        """Return whether to refuse the next new job.
+
+        Spreads the refusals evenly, so that they make up ``refused_share``.
+        """
         share = self.refused_share
         self._credit = self._credit + share if share else 0.0
         if self._credit < 1:
--- a/gypsumspoke/runs/messages.py
+++ b/gypsumspoke/runs/messages.py
@@ -1,9 +1,9 @@
 """Messages between an entry and the sidecars that connect to it.
 
-``wire`` gives each a thrift struct of the same fields. Each order to a sidecar carries
-``heard``: the newest time of the sidecar's own clock that the entry knew when it sent
-the order. It proves to the sidecar that the entry was alive then, whatever held the
-order up, without comparing clocks.
+``wire`` has a thrift struct with the same fields for each. ``heard`` in a message to a
+sidecar is the latest time of the sidecar's own clock that the entry had received when
+it sent the message. It proves that the entry was alive then, however long the message
+is delayed and without comparing the clocks of two machines.
 """
 
 from datetime import timedelta
@@ -13,20 +13,20 @@
 
 
 class WorkerReport(NamedTuple):
-    """Sidecar to entry: its worker and the room left, several times a second.
+    """Sidecar to entry: state and free room of its worker, several times a second.
 
     Attributes:
-      stamp: the sidecar's steady clock; the entry hands it back as ``heard``.
+      stamp: the sidecar's steady clock; the entry returns it as ``heard``.
       worker: the worker's id; empty while none is known.
       service: the worker's service.
       labels: the worker's labels.
-      takes_work: whether new runs may be placed here.
-      clean: whether nothing of an earlier process of this sidecar runs any more.
-      capacity: what the worker has.
-      free: what its runs leave.
-      pace: run time over estimate, smoothed; 0 before the first end.
-      failing: whether the worker fails most of what it starts.
-      taken: how many placements of this entry arrived on this connection.
+      takes_work: whether the worker accepts new runs.
+      clean: whether no run of an earlier incarnation of this sidecar is left.
+      capacity: the worker's total room.
+      free: the room that its runs leave.
+      pace: smoothed ratio of run time to estimate; 0 before the first completed run.
+      failing: whether most runs fail on the worker.
+      taken: number of placements received from this entry on this connection.
     """
 
     stamp: timedelta
@@ -43,7 +43,7 @@
 
 
 class Pulse(NamedTuple):
-    """Entry to sidecar: answers a report, and keeps the entry's runs alive."""
+    """Entry to sidecar: answers a report and keeps the entry's runs alive."""
 
     heard: timedelta
 
@@ -52,12 +52,12 @@
     """Entry to sidecar: start this run when there is room.
 
     Attributes:
-      heard: see above; an order with an old one is refused.
-      run: which run.
-      room: what it takes.
-      priority: 0 comes first.
+      heard: see above; a placement with a stale value is refused.
+      run: the run.
+      room: the room that it takes.
+      priority: 0 is the highest.
       estimate: estimated run time on a worker of pace 1.
-      within: not started later than this after its arrival.
+      within: latest start, counted from the arrival of the message.
       spec: text for the worker.
     """
 
@@ -71,28 +71,28 @@
 
 
 class WithdrawRun(NamedTuple):
-    """Entry to sidecar: don't start this run, or stop it."""
+    """Entry to sidecar: stop this run, or don't start it."""
 
     run: RunId
 
 
 class AskRun(NamedTuple):
-    """Entry to sidecar, after a lost connection: what became of this run?
+    """Entry to sidecar, after a lost connection: report the state of this run.
 
-    A run that the sidecar has never seen is refused for good and answered NOT_RUN.
+    A run that the sidecar doesn't know is answered NOT_RUN and refused from then on.
     """
 
     run: RunId
 
 
 class RunEnded(NamedTuple):
-    """Sidecar to entry: the end of a run; its room is free again.
+    """Sidecar to entry: a run has ended and its room is free.
 
     Attributes:
-      run: which run.
-      end: what became of it.
-      reason: why.
-      took: from the start of the run to its end; None if it never started.
+      run: the run.
+      end: its outcome.
+      reason: the reason for the outcome.
+      took: time from its start to its end; None if it never started.
       highest: highest run number of this task that the worker has seen.
     """
 
@@ -106,24 +106,24 @@
 class KnownEntries(NamedTuple):
     """To a peer: the addresses of all entries that the sender knows.
 
-    A process that the store turns away finds the others by this.
+    Lets a process find the entries when it can't reach the store.
     """
 
     addresses: tuple[str, ...]
 
 
 class ConfigurationOffer(NamedTuple):
-    """Between entries: the newest configuration that the sender has in force."""
+    """Between entries: the version of the configuration in force at the sender."""
 
     version: int
 
 
 class ConfigurationRequest(NamedTuple):
-    """Between entries: send the text of your configuration."""
+    """Between entries: asks for the receiver's configuration."""
 
 
 class ConfigurationText(NamedTuple):
-    """Between entries: the whole configuration as the operators wrote it."""
+    """Between entries: the full configuration as the operators wrote it."""
 
     version: int
     text: str
--- a/gypsumspoke/runs/placement.py
+++ b/gypsumspoke/runs/placement.py
@@ -1,12 +1,10 @@
-"""Which sidecar gets a task that may start now.
-
-Load that it answers: workers differ in speed by a factor of two to three, tasks in
-length by ten, and a job is as late as its last task. Always taking the fastest worker
-fills the few fast ones, and long tasks, which are in time only there, wait behind short
-ones that would be in time anywhere. So a task goes to a worker on which it is expected
-to be in time, and among those to one that is fast for how full it is. Only workers with
-room now are taken: what finds none waits at the entry, where the most urgent task gets
-the next free room, instead of behind others at one worker.
+"""Choice of the sidecar for a task.
+
+Workers differ in speed and tasks in length. A task goes to a worker on which it is
+expected to be in time, and among those to one that is fast relative to its free share,
+so that short tasks leave the fast workers to long tasks. Only workers with enough room
+are chosen; otherwise the task waits in the entry's queue, where tasks of urgent jobs
+come first.
 """
 
 from collections.abc import Iterable
@@ -16,19 +14,19 @@
 from gypsumspoke.runs.sidecar_views import Placement, SidecarView, is_open
 from gypsumspoke.runs.values import DEFAULT_REMOTE_SLOWDOWN, RunId, Step, fits
 
-# Messages, the start and the answer take some milliseconds of what a job may take.
+# Time for messages, the start of the run and the answer.
 OVERHEAD_SECONDS = 0.015
-# Keeps the cost of the last free piece of a worker finite.
+# Keeps the cost of an almost full worker finite.
 MIN_FREE_SHARE = 0.02
 
 
 class Choice(NamedTuple):
-    """Where a task goes.
+    """The sidecar chosen for a task.
 
     Attributes:
       view: the sidecar.
       seconds: expected run time there.
-      placement: what it takes there.
+      placement: the run and the room that it takes.
     """
 
     view: SidecarView
@@ -37,13 +35,13 @@
 
 
 class PlacementRequest(NamedTuple):
-    """A task that looks for a worker.
+    """A task to be placed.
 
     Attributes:
       service: service of the route.
       step: the task's step.
       run: the run to be placed.
-      seconds_left: until its job is late.
+      seconds_left: time until its job is late.
       remote_slowdown: factor on a task's run time away from its data.
     """
 
@@ -55,7 +53,7 @@
 
 
 def serves(view: SidecarView, service: str, step: Step) -> bool:
-    """Return whether a worker may ever run tasks of a step."""
+    """Return whether a worker can run tasks of a step when it is idle."""
     report = view.report
     return (
         report is not None
@@ -65,71 +63,71 @@
     )
 
 
-def is_open_to(view: SidecarView, wanted: PlacementRequest, now: datetime) -> bool:
-    """Return whether a sidecar takes such a task, now or when it has room."""
-    return serves(view, wanted.service, wanted.step) and is_open(view, now)
+def is_open_to(view: SidecarView, request: PlacementRequest, now: datetime) -> bool:
+    """Return whether a sidecar accepts such a task, now or when it has room."""
+    return serves(view, request.service, request.step) and is_open(view, now)
 
 
 def choose(
-    views: Iterable[SidecarView], wanted: PlacementRequest, now: datetime
+    views: Iterable[SidecarView], request: PlacementRequest, now: datetime
 ) -> Choice | None:
-    """Return the sidecar for a task, or None to let it wait.
+    """Return the sidecar for a task, or None to keep it queued.
 
-    A task that is still in time on a busy worker only, waits for that one rather than
-    be late for certain on a free one.
+    A task that would be late on every worker with room, but in time on a full one,
+    waits for the full one.
 
     Args:
       views: sidecars that may be chosen.
-      wanted: the task.
+      request: the task.
       now: the current time.
     """
-    step = wanted.step
+    step = request.step
     best: SidecarView | None = None
     best_rank: tuple[bool, float] | None = None
     best_seconds = 0.0
     full: list[SidecarView] = []
     for view in views:
-        # Cheap conditions come first: every task looks at every worker.
-        if view.report is None or view.report.service != wanted.service:
+        # Cheap checks come first: every task scans all workers.
+        if view.report is None or view.report.service != request.service:
             continue
         if not fits(step.room, view.free):
             full.append(view)
             continue
-        if not is_open_to(view, wanted, now):
+        if not is_open_to(view, request, now):
             continue
-        seconds = run_seconds(view, wanted)
-        rank = (not _is_in_time(seconds, wanted), seconds / _free_share(view))
+        seconds = run_seconds(view, request)
+        rank = (not _is_in_time(seconds, request), seconds / _free_share(view))
         if best_rank is None or rank < best_rank:
             best, best_rank, best_seconds = view, rank, seconds
     if best is None:
         return None
-    if best_rank[0] and any(_is_worth_waiting(view, wanted, now) for view in full):
+    if best_rank[0] and any(_is_worth_waiting(view, request, now) for view in full):
         return None
-    return Choice(best, best_seconds, Placement(wanted.run, step.room))
+    return Choice(best, best_seconds, Placement(request.run, step.room))
 
 
 def _is_worth_waiting(
-    view: SidecarView, wanted: PlacementRequest, now: datetime
+    view: SidecarView, request: PlacementRequest, now: datetime
 ) -> bool:
-    """Return whether a task is in time on a worker that has no room for it now."""
-    if not is_open_to(view, wanted, now):
+    """Return whether a task would be in time on a worker without room for it now."""
+    if not is_open_to(view, request, now):
         return False
-    return _is_in_time(run_seconds(view, wanted), wanted)
+    return _is_in_time(run_seconds(view, request), request)
 
 
-def _is_in_time(seconds: float, wanted: PlacementRequest) -> bool:
-    return seconds + OVERHEAD_SECONDS <= wanted.seconds_left
+def _is_in_time(seconds: float, request: PlacementRequest) -> bool:
+    return seconds + OVERHEAD_SECONDS <= request.seconds_left
 
 
 def _free_share(view: SidecarView) -> float:
-    """Return the share of the worker's processors that is free, before the task."""
+    """Return the free share of the worker's processors before the placement."""
     return max(view.free.cpu / max(view.report.capacity.cpu, 1), MIN_FREE_SHARE)
 
 
-def run_seconds(view: SidecarView, wanted: PlacementRequest) -> float:
+def run_seconds(view: SidecarView, request: PlacementRequest) -> float:
     """Return the expected run time of a task there."""
-    step = wanted.step
+    step = request.step
     seconds = step.estimate.total_seconds() * view.pace
     if step.rack and step.rack not in view.report.labels:
-        seconds *= wanted.remote_slowdown
+        seconds *= request.remote_slowdown
     return seconds
--- a/gypsumspoke/runs/routing.py
+++ b/gypsumspoke/runs/routing.py
@@ -1,13 +1,12 @@
-"""Which route a request takes, by its host and the longest prefix of its path."""
+"""Routing of requests by host and longest path prefix."""
 
 from gypsumspoke.runs.values import Configuration, Route
 
 
 class RoutingTable:
-    """The routes of one configuration, ready to be searched.
+    """The routes of one configuration, indexed by host and path prefix.
 
-    A day with hundreds of routes costs a few dictionary look-ups a request: one for
-    each length of prefix in use.
+    A look-up takes one dictionary access for each distinct prefix length.
 
     Args:
       configuration: the configuration in force.
@@ -24,11 +23,11 @@
 
     @property
     def configuration(self) -> Configuration:
-        """The configuration that the table was made from."""
+        """The configuration that defines the routes."""
         return self._configuration
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route of a request, or None.
+        """Return the route of a request, or None if no route matches.
 
         Args:
           host: Host header.
--- a/gypsumspoke/runs/run_ends.py
+++ b/gypsumspoke/runs/run_ends.py
@@ -1,4 +1,4 @@
-"""What the entry does at the end of a run: the task is done, runs again or fails."""
+"""How an entry handles the end of a run: its task is done, runs again or fails."""
 
 from datetime import datetime
 
@@ -14,7 +14,7 @@
 from gypsumspoke.runs.messages import RunEnded
 from gypsumspoke.runs.values import EndReason, JobEnd, RefusalReason, RunEnd
 
-# Ends after which the same worker may well be the best place again.
+# Reasons that don't speak against running the task on the same worker again.
 _MAY_RETRY_THERE = frozenset(
     {
         EndReason.NUMBER_TOO_LOW,
@@ -29,26 +29,26 @@
 def handle_run_end(
     state: CoordinatorState, message: RunEnded, sidecar: str, now: datetime
 ) -> list[Effect]:
-    """Go on with the task whose run ended at a sidecar."""
+    """Continue the task whose run has ended on a sidecar."""
     placed = PlacedRun(sidecar, message.run)
     _forget_withdrawn(state, placed)
     progress = state.jobs.get(state.by_run.pop(placed, ""))
     if progress is None:
         return []
-    name = message.run.task
-    task = progress.tasks[name.step][name.index]
+    task_id = message.run.task
+    task = progress.tasks[task_id.step][task_id.index]
     if message.end is RunEnd.DONE:
         return _handle_done(state, progress, task, now)
     return _handle_not_done(state, progress, task, message, now)
 
 
 def _forget_withdrawn(state: CoordinatorState, placed: PlacedRun) -> None:
-    """Forget a withdrawn run: its task may run again."""
-    ending = state.withdrawn.get(placed.run.task)
-    if ending is None:
+    """Forget a withdrawn run that has ended, so that its task may run again."""
+    runs = state.withdrawn.get(placed.run.task)
+    if runs is None:
         return
-    ending.discard(placed)
-    if not ending:
+    runs.discard(placed)
+    if not runs:
         del state.withdrawn[placed.run.task]
 
 
--- a/gypsumspoke/runs/settings.py
+++ b/gypsumspoke/runs/settings.py
@@ -1,4 +1,4 @@
-"""What a process of either role must know at its start."""
+"""Settings of an entry or a sidecar of best-effort jobs."""
 
 from datetime import timedelta
 from typing import NamedTuple
@@ -14,18 +14,18 @@
 
     Attributes:
       instance: name of the instance; the same after a restart.
-      failure_domain: where it stands.
-      host: its IP number.
-      callers: where an entry takes callers' requests; None for a sidecar.
-      readiness: where an entry answers readiness checks; None for a sidecar.
-      peers: where an entry listens for peers; None for a sidecar.
-      registration: where a sidecar takes its worker's heartbeats; None for an entry.
-      worker: where a sidecar reaches its worker; None for an entry.
+      failure_domain: its failure domain.
+      host: its IP address.
+      callers: listening address for callers' requests; None for a sidecar.
+      readiness: listening address for readiness checks; None for a sidecar.
+      peers: listening address for peers; None for a sidecar.
+      registration: listening address for the worker's heartbeats; None for an entry.
+      worker: address of the sidecar's worker; None for an entry.
       service: service of that worker; empty for an entry.
-      metrics: where metrics are served.
+      metrics: listening address for metrics.
       known_entries: addresses of some entries, which may be stale.
       store: address of the store.
-      grace: time from SIGTERM until the process is killed.
+      grace: time from SIGTERM to SIGKILL.
       budget: the time budget of all runs, from the platform's bounds.
       remote_slowdown: factor on a task's run time away from its data.
     """
@@ -48,15 +48,15 @@
 
 
 def address_text(address: Address) -> str:
-    """Return HOST:PORT."""
+    """Return an address as HOST:PORT."""
     return f"{address[0]}:{address[1]}"
 
 
 def parse_address(text: str) -> Address:
-    """Return host and port of HOST:PORT.
+    """Return the host and the port of HOST:PORT.
 
     Raises:
-      ValueError: the text is something else.
+      ValueError: the text isn't of that form.
     """
     host, _, port = text.rpartition(":")
     if not host or not port.isdecimal():
--- a/gypsumspoke/runs/sidecar_views.py
+++ b/gypsumspoke/runs/sidecar_views.py
@@ -1,8 +1,8 @@
-"""What an entry believes of the sidecars that are connected to it.
+"""An entry's views of its sidecars and of the room on their workers.
 
-A report is up to a report interval old, and says how many of this entry's placements it
-includes. The placements sent since are taken off its room, so that one entry never
-takes room twice; where several do at once, the sidecar sends back what came last.
+A report states how many of this entry's placements it includes. The entry subtracts
+the placements sent since, so that it never uses the same room twice. If several entries
+do, the sidecar sends back the placements that arrived last.
 """
 
 from collections import deque
@@ -14,35 +14,36 @@
 from gypsumspoke.runs.messages import WorkerReport
 from gypsumspoke.runs.values import NO_ROOM, Room, RunId, add, fits, subtract
 
-# Run time over estimate that is assumed before the first end of a worker.
+# Ratio of run time to estimate, assumed until a worker has completed a run.
 DEFAULT_PACE = 1.0
-# A worker's pace may look extreme after one odd run; beyond these it is not believed.
+# Bounds on a reported pace, which a single outlier may distort.
 LOWEST_PACE, HIGHEST_PACE = 0.2, 20.0
 
 
 class Placement(NamedTuple):
-    """One run that was placed and may not be in the report yet."""
+    """A placed run and the room it takes."""
 
     run: RunId
     room: Room
 
 
 class SidecarView:
-    """One connected or lately lost sidecar.
+    """A connected or recently disconnected sidecar.
 
     Attributes:
       budget: the time budget of all runs.
-      order_fresh: an order on an older report would be refused.
-      incarnation, host: the process, and the name of the instance it runs on.
-      found: when this entry first heard of the process.
-      reported: when that was read.
-      last_sent: when this entry last sent it proof of being alive.
+      max_report_age: age of the latest report from which on the sidecar would refuse a
+        placement as stale.
+      incarnation, host: the process, and the name of the instance that runs it.
+      first_seen: when this entry first heard of the process.
+      reported_at: when its latest report was read.
+      last_sent_at: when this entry last sent it a pulse or a placement.
       connected: whether a connection is up.
-      sent: how many placements were sent on this connection.
+      sent: number of placements sent on this connection.
       unreported: placements that the latest report does not include.
       freed: room of runs that ended since the latest report.
       open_runs: room of the runs placed there that have not ended.
-      pace: run time over estimate on this worker.
+      pace: ratio of run time to estimate on this worker.
     """
 
     def __init__(
@@ -70,7 +71,7 @@
 
     @property
     def report(self) -> WorkerReport | None:
-        """Its latest report; None before the first."""
+        """The latest report; None before the first."""
         return self._report
 
     @report.setter
@@ -81,8 +82,8 @@
 
     @property
     def free(self) -> Room:
-        """The room left, as far as this entry knows."""
-        # Kept until something changes: each task looks at the room of every worker.
+        """The free room on the worker, as far as this entry knows."""
+        # Cached, since the placement of each task reads it for every worker.
         if self._free is None:
             free = add(self._report.free, self.freed)
             for _, placement in self.unreported:
@@ -91,22 +92,22 @@
         return self._free
 
     def invalidate_free(self) -> None:
-        """Work the room out anew: what it is made of has changed."""
+        """Drop the cached free room."""
         self._free = None
 
     @property
     def runs_dead_at(self) -> datetime:
-        """When all runs placed there are certainly gone if it stays silent."""
+        """When all runs placed there have ended for certain if it stays silent."""
         return self.last_sent_at + self.budget.runs_dead_after
 
 
 def update_report(view: SidecarView, report: WorkerReport, read: datetime) -> None:
-    """Take a newer report.
+    """Apply a newer report.
 
     Args:
       view: the sidecar, changed in place.
       report: its report.
-      read: when that was read, which may be well before it is handled.
+      read: when the report was read, which may be well before it is handled.
     """
     view.report = report
     view.reported_at = read
@@ -117,7 +118,7 @@
 
 
 def record_placement(view: SidecarView, placement: Placement) -> None:
-    """Count a placement that was just sent."""
+    """Record a placement that is being sent."""
     view.sent += 1
     view.unreported.append((view.sent, placement))
     view.open_runs[placement.run] = placement.room
@@ -125,19 +126,25 @@
 
 
 def record_run_end(view: SidecarView, run: RunId, ran: bool) -> None:
-    """Count an end that came since the latest report."""
+    """Record the end of a run since the latest report.
+
+    Args:
+      view: the sidecar, changed in place.
+      run: the run.
+      ran: whether it had started, and so took room on the worker.
+    """
     room = view.open_runs.pop(run, None)
     if room is None:
         return
-    known = len(view.unreported)
+    count = len(view.unreported)
     view.unreported = deque(entry for entry in view.unreported if entry[1].run != run)
-    if ran and len(view.unreported) == known:
+    if ran and len(view.unreported) == count:
         view.freed = add(view.freed, room)
     view.invalidate_free()
 
 
 def restart_connection(view: SidecarView, read: datetime) -> None:
-    """Start counting placements anew, as the sidecar does on a new connection."""
+    """Reset the count of placements, as the sidecar does on a new connection."""
     view.connected = True
     view.sent = 0
     view.unreported.clear()
@@ -151,22 +158,21 @@
         view.connected
         and view.report is not None
         and view.report.takes_work
-        # An order names the time of the report, and one that is older is refused. A
-        # sidecar that was not heard for so long may also be frozen or cut off.
+        # The sidecar refuses placements that are based on an older report.
         and now - view.reported_at < view.max_report_age
-        # A worker that fails is tried with one run at a time.
+        # A failing worker gets one run at a time.
         and not (view.report.failing and view.open_runs)
     )
 
 
 class Offer(NamedTuple):
-    """What decides whether a sidecar gets a task.
+    """The properties of a sidecar that decide whether it gets a task.
 
     Attributes:
       is_open: whether new runs may be placed there.
-      worker: its service, labels and capacity.
-      pace: run time over estimate.
-      free: the room left.
+      worker: service, labels and capacity of its worker.
+      pace: ratio of run time to estimate.
+      free: the free room.
     """
 
     is_open: bool
@@ -176,7 +182,7 @@
 
 
 def make_offer(view: SidecarView, now: datetime) -> Offer | None:
-    """Return what a sidecar offers; None before its first report."""
+    """Return the offer of a sidecar; None before its first report."""
     report = view.report
     if report is None:
         return None
@@ -184,19 +190,21 @@
     return Offer(is_open(view, now), worker, view.pace, view.free)
 
 
-def may_allow_placement(offer: Offer, before: Offer | None) -> bool:
-    """Return whether a task that found no place may find one now.
+def may_allow_placement(offer: Offer, previous: Offer | None) -> bool:
+    """Return whether a change of an offer may let a queued task be placed.
 
-    A worker that closes or turns slow counts too: tasks may have waited for it rather
-    than go elsewhere.
+    That includes a worker that closes or slows down: tasks may have waited for it
+    instead of taking another one.
     """
     return (
-        before is None or offer[:3] != before[:3] or not fits(offer.free, before.free)
+        previous is None
+        or offer[:3] != previous[:3]
+        or not fits(offer.free, previous.free)
     )
 
 
 def fastest_pace(views: Iterable[SidecarView], service: str) -> float:
-    """Return the pace of the fastest worker of a service; 1 where none is known."""
+    """Return the pace of the fastest worker of a service, or the default pace."""
     paces = (
         view.pace
         for view in views
--- a/gypsumspoke/runs/values.py
+++ b/gypsumspoke/runs/values.py
@@ -1,28 +1,28 @@
-"""The vocabulary of best-effort jobs.
+"""Value types of best-effort jobs.
 
-A best-effort job is answered when it has ended and is not stored. The entry that took
+A best-effort job isn't stored; its caller waits for the answer. The entry that accepts
 it coordinates it: it places each task as a numbered *run* on a sidecar, which starts
-the run on its worker. A run lives only while its coordinator is heard, so a caller that
-sends its job again after losing the entry finds no old run at work (``budget.py``).
+the run on its worker. Runs end when their coordinator falls silent, so that a job that
+is sent again after the loss of its entry doesn't run twice at once (``budget.py``).
 
-Work is sized by what it takes of a worker instead of in slots.
+The size of a task is its *room*: the processors, memory and accelerators that it takes.
 """
 
 from datetime import timedelta
 from enum import Enum
 from typing import NamedTuple
 
-# Where the platform does not say how much longer a task takes away from its data.
+# Factor on the run time of a task away from its data, if the platform sets none.
 DEFAULT_REMOTE_SLOWDOWN = 1.5
 
 
 class Room(NamedTuple):
-    """What a task needs, or a worker has.
+    """Resources that a task needs or a worker has.
 
     Attributes:
-      cpu: thousandths of a core.
-      memory: MB.
-      gpu: accelerators.
+      cpu: processor time in thousandths of a core.
+      memory: memory in MB.
+      gpu: number of accelerators.
     """
 
     cpu: int
@@ -39,7 +39,7 @@
 
 
 def subtract(one: Room, other: Room) -> Room:
-    """Return what is left of ``one``; negative where ``other`` is larger."""
+    """Return ``one`` minus ``other``; negative where ``other`` is larger."""
     return Room(one.cpu - other.cpu, one.memory - other.memory, one.gpu - other.gpu)
 
 
@@ -49,7 +49,7 @@
 
 
 class TaskId(NamedTuple):
-    """Name of a task: its job's id, the step's number and its own, both from 0."""
+    """Id of a task: its job's id, and the indexes of its step and of itself."""
 
     job: str
     step: int
@@ -57,23 +57,23 @@
 
 
 class RunId(NamedTuple):
-    """One start of a task; ``number`` counts from 1 and rises with each start."""
+    """Id of one run of a task; ``number`` starts at 1 and rises with each run."""
 
     task: TaskId
     number: int
 
 
 class Step(NamedTuple):
-    """Tasks of one job that are alike.
+    """A set of identical tasks of a job.
 
     Attributes:
-      count: how many tasks.
-      room: what each needs.
-      estimate: the caller's rough estimate of a task's run time.
-      after: numbers of the steps whose tasks must all be done first.
+      count: number of tasks.
+      room: the room that each needs.
+      estimate: the caller's estimate of a task's run time.
+      after: indexes of the steps whose tasks must all be done first.
       label: label that the worker must have; empty for any.
-      rack: rack where the data is; empty for none. Elsewhere tasks take longer.
-      per_worker: most tasks of the step on one worker; 0 for no bound.
+      rack: rack where the data is; empty for none. Tasks take longer elsewhere.
+      per_worker: maximum number of the step's tasks on one worker; 0 for no bound.
     """
 
     count: int
@@ -86,10 +86,10 @@
 
 
 class Job(NamedTuple):
-    """A best-effort job as a caller sent it.
+    """A best-effort job as its caller sent it.
 
     Attributes:
-      id: the caller's id; the same when the job is sent again.
+      id: id from the caller; the same in a resubmission.
       spec: text for the worker, the same for every task.
       steps: at least one.
     """
@@ -100,18 +100,18 @@
 
 
 class Route(NamedTuple):
-    """Which jobs go to which service, and on what terms.
+    """A route: the requests that it matches, their service and its conditions.
 
     Attributes:
       name: name in the configuration.
       host: the Host header of its requests.
       path_prefix: start of the path of its requests.
       service: service whose workers run its tasks.
-      priority: 0 comes first.
-      attempts: most runs of one task that may end failed.
-      timeout: longest that a request is kept waiting; None for no bound.
-      target_latency: what a job may take beyond ``stretch`` times its work.
-      stretch: factor on the longest chain of a job's work.
+      priority: 0 is the highest.
+      attempts: number of failed runs of one task after which its job fails.
+      timeout: how long a request may wait; None for no bound.
+      target_latency: allowed time of a job beyond ``stretch`` times its work.
+      stretch: factor on the estimate of a job's longest chain of steps.
     """
 
     name: str
@@ -126,12 +126,12 @@
 
 
 class RequestLimits(NamedTuple):
-    """Bounds on what one client may send.
+    """Bounds on the requests of one client.
 
     Attributes:
-      header_bytes, body_bytes: most bytes of each.
-      header_timeout: longest from a request's first byte to the end of its header.
-      idle_timeout: longest that a connection may wait between requests.
+      header_bytes, body_bytes: maximum size of each.
+      header_timeout: time from a request's first byte to the end of its header.
+      idle_timeout: time that a connection may be idle between requests.
     """
 
     header_bytes: int
@@ -141,13 +141,13 @@
 
 
 class Configuration(NamedTuple):
-    """The operators' configuration, checked.
+    """The operators' configuration, validated.
 
     Attributes:
-      version: rises with each change, in uneven steps.
+      version: rises with each change, not always by one.
       routes: all routes.
       limits: bounds on requests.
-      guarding_services: services whose workers refuse what does not fit themselves.
+      capacity_checking_services: services whose workers refuse runs that don't fit.
     """
 
     version: int
@@ -157,22 +157,22 @@
 
 
 class WorkerState(Enum):
-    """What a worker says of itself."""
+    """Whether a worker accepts new runs, as it states in its heartbeats."""
 
     READY = "ready"
     DRAINING = "draining"
 
 
 class Registration(NamedTuple):
-    """What a worker says of itself in a heartbeat.
+    """A worker's heartbeat.
 
     Attributes:
       id: the worker's id.
-      born: when this life of it began, in Unix milliseconds; tells two lives apart.
-      sequence: rises with each heartbeat of one life.
-      service: the service it belongs to.
-      state: whether it takes new work.
-      capacity: what it has.
+      incarnation: start time of the worker process in Unix milliseconds.
+      sequence: rises with each heartbeat of one incarnation.
+      service: the service that it belongs to.
+      state: whether it accepts new runs.
+      capacity: its total room.
       labels: its kind and its rack.
       clock: its steady clock when it wrote the heartbeat.
     """
@@ -188,11 +188,11 @@
 
 
 class RunEnd(Enum):
-    """What can become of a run. Only FAILED counts against a task's attempts.
+    """Outcome of a run. Only FAILED counts against a task's attempts.
 
-    DONE: the task is complete. FAILED: through its own fault or the worker's. STOPPED:
-    it was stopped. LOST: its worker or its lease is gone, and so is it. NOT_RUN: it
-    never started and never will.
+    DONE: the task is complete. FAILED: the task or the worker failed. STOPPED: the run
+    was stopped. LOST: its worker or its lease is gone. NOT_RUN: it never started and
+    never will.
     """
 
     DONE = "done"
@@ -203,7 +203,7 @@
 
 
 class EndReason(Enum):
-    """Why a run ended as it did; one counter for each."""
+    """Reason for the outcome of a run; each has a counter."""
 
     COMPLETED = "completed"
     TASK_FAILED = "task_failed"
@@ -231,16 +231,16 @@
 
 
 class LeaseEvent(Enum):
-    """What happened to a worker's lease beside its regular extension.
+    """An exceptional event of a worker's lease.
 
-    WITHHELD: a stop without an answer keeps it from being extended in full.
+    WITHHELD: an unanswered stop prevents its full extension.
     """
 
     WITHHELD = "withheld"
 
 
 class JobEnd(Enum):
-    """The closed list of answers to a best-effort job."""
+    """Outcome of a best-effort job, as its caller is told."""
 
     COMPLETED = "completed"
     FAILED = "failed"
@@ -249,7 +249,7 @@
 
 
 class RefusalReason(Enum):
-    """Why a best-effort job was refused or given up; one counter for each."""
+    """Why a best-effort job was refused or given up; each has a counter."""
 
     NO_CONFIGURATION = "no_configuration"
     NO_ROUTE = "no_route"
