--- a/tests/runs/test_budget.py
+++ b/tests/runs/test_budget.py
@@ -13,7 +13,7 @@
     budget_for,
 )
 from gypsumspoke.runs.values import JobEnd
-from tests.runs.walk import CutOffWalk, Walk
+from tests.runs.walk import IsolationWalk, Walk
 from tests.runs.world import World, job, ms
 
 EARLY = budget_for(DEFAULT_BOUNDS._replace(resend=ms(700))).unwrap()
@@ -53,7 +53,7 @@
     their jobs again sooner than elsewhere. No task runs twice at once.
     """
     assert Walk(seed, budget).play() == []
-    assert CutOffWalk(seed, budget).play() == []
+    assert IsolationWalk(seed, budget).play() == []
 
 
 def test_a_deployment_whose_callers_come_back_early_is_served():
--- a/tests/runs/test_caller_timeouts.py
+++ b/tests/runs/test_caller_timeouts.py
@@ -1,4 +1,4 @@
-"""Callers that come back after a loss, told from new ones by how long they wait."""
+"""Detection of resubmitted jobs by the remaining timeout of their callers."""
 
 from datetime import timedelta
 
@@ -13,60 +13,60 @@
 from tests.runs.test_job_lifecycle import settled
 from tests.runs.world import ROUTE, START, World, job, ms
 
-PAUSE = ms(1300)
+RESEND_DELAY = ms(1300)
 USUAL = ms(2000)
 CHECKS = ROUTE.name
 
 
-def learned() -> CallerTimeouts:
-    """Return what an entry knows whose callers wait two to three seconds."""
-    patience = CallerTimeouts(PAUSE, START)
+def trained_timeouts() -> CallerTimeouts:
+    """Return the state of an entry whose callers wait two to three seconds."""
+    patience = CallerTimeouts(RESEND_DELAY, START)
     for number in range(3 * SAMPLES_PER_UPDATE):
         patience.record(CHECKS, USUAL + ms(10 * (number % 100)))
     return patience
 
 
 def test_a_caller_that_waits_less_than_others_has_waited_elsewhere():
-    patience = learned()
+    patience = trained_timeouts()
     assert patience.waited_elsewhere(CHECKS, USUAL + ms(100), START) == ms(0)
-    assert patience.waited_elsewhere(CHECKS, ms(1500), START) == PAUSE
+    assert patience.waited_elsewhere(CHECKS, ms(1500), START) == RESEND_DELAY
     assert patience.waited_elsewhere(CHECKS, ms(500), START) >= ms(1500)
     assert patience.waited_elsewhere("another route", ms(500), START) == ms(0)
 
 
 def test_nothing_is_concluded_from_a_few_callers():
-    patience = CallerTimeouts(PAUSE, START)
+    patience = CallerTimeouts(RESEND_DELAY, START)
     for _ in range(SAMPLES_PER_UPDATE - 1):
         patience.record(CHECKS, USUAL)
     assert patience.waited_elsewhere(CHECKS, ms(500), START) == ms(0)
 
 
 def test_callers_that_all_wait_less_from_now_on_are_new_ones_again():
-    """The operators shorten a time-out and every caller waits less. Taken for callers
-    that come back, all of them would count as late for good.
+    """After a change of the callers' timeout, all of their jobs would count as
+    resubmissions for good.
     """
-    patience = learned()
+    patience = trained_timeouts()
     later = START + STORED_VALID_FOR
     for _ in range(3 * SAMPLES_PER_UPDATE):
         patience.record(CHECKS, ms(900))
     assert patience.waited_elsewhere(CHECKS, ms(900), later) == ms(0)
 
 
-def test_what_others_kept_counts_while_a_process_is_new():
-    """All entries were lost. The first callers of a new one are mostly those that come
-    back, so what it learns from them is wrong; what was kept before tells them apart.
+def test_stored_values_are_used_while_a_process_is_new():
+    """After a loss of all entries, most first requests are resubmissions, and values
+    learned from them are too low.
     """
-    patience = CallerTimeouts(PAUSE, START)
+    patience = CallerTimeouts(RESEND_DELAY, START)
     kept = CallerTimeoutsRead(({CHECKS: USUAL}, {CHECKS: ms(1900)}, {CHECKS: ms(9000)}))
     patience.update_stored(kept)
     for _ in range(2 * SAMPLES_PER_UPDATE):
         patience.record(CHECKS, ms(700))
-    assert patience.waited_elsewhere(CHECKS, ms(700), START + ms(1000)) == PAUSE
+    assert patience.waited_elsewhere(CHECKS, ms(700), START + ms(1000)) == RESEND_DELAY
     assert patience.waited_elsewhere(CHECKS, ms(700), START + STORED_VALID_FOR) == ms(0)
 
 
-def test_it_is_kept_when_it_has_changed_clearly_and_not_too_often():
-    patience = learned()
+def test_values_are_stored_after_a_clear_change_and_not_too_often():
+    patience = trained_timeouts()
     assert patience.to_store(START) is None
     first = patience.to_store(START + STORE_INTERVAL)
     assert first.usual == ((CHECKS, USUAL + ms(10)),)
@@ -83,10 +83,7 @@
 
 
 def test_a_new_job_goes_before_those_that_come_back():
-    """An entry is lost and eight callers send their jobs again, late already, through
-    the one that is left. A new job comes a moment after them. In order of arrival it
-    would wait for all of them and be late too; they lose nothing by letting it go.
-    """
+    """Behind resubmitted jobs, which are late already, a new job would be late too."""
     world = settled(sidecars=1)
     state = world.processes["entry0"].state
     state.caller_timeouts.update_stored(CallerTimeoutsRead(({CHECKS: ms(9000)},)))
--- a/tests/runs/test_directory.py
+++ b/tests/runs/test_directory.py
@@ -1,9 +1,9 @@
-"""Whom a process connects to."""
+"""The addresses that a process connects to."""
 
 from gypsumspoke.runs.directory import MAX_ADDRESSES, DialEntries, Directory
 
 
-def test_a_sidecar_dials_all_that_anybody_tells_of():
+def test_a_sidecar_dials_the_addresses_of_all_sources():
     directory = Directory("", ("10.0.0.9:1",))
     assert directory.to_dial == ("10.0.0.9:1",)
     (effect,) = directory.update_from_store(("10.0.0.1:1", "10.0.0.2:1"))
@@ -19,7 +19,7 @@
     assert other.update_from_store((low, high)) == []
 
 
-def test_what_is_known_already_changes_nothing():
+def test_known_addresses_change_nothing():
     directory = Directory("", ("10.0.0.1:1",))
     assert directory.update_from_store(("10.0.0.1:1",)) == []
     assert directory.update_from_peer(("10.0.0.1:1",)) == []
--- a/tests/runs/test_full_restart.py
+++ b/tests/runs/test_full_restart.py
@@ -1,11 +1,11 @@
-"""All processes are lost at once and come back: how soon jobs run again."""
+"""How soon jobs run again after a restart of all processes."""
 
 from gypsumspoke.runs.values import JobEnd
 from tests.runs.world import World, job, ms
 
 
-def lost_and_back(world: World) -> None:
-    """Lose all processes and workers at once, and start them anew."""
+def restart_all(world: World) -> None:
+    """Lose all processes and workers at once and start them again."""
     hosts = list(world.processes)
     for host in hosts:
         world.power_off(host)
@@ -18,13 +18,12 @@
 
 
 def test_a_job_runs_at_once_when_all_processes_are_back():
-    """A caller sends a job just after all processes were lost and came back. It waited
-    for a tick, for holds that waited for an end, and for the next regular report: a
-    quarter of a second, which is more than a short job may take.
+    """A job just after the restart waited for a tick, for open lease renewals and for
+    the next regular report, longer than a short job may take.
     """
     world = World()
     world.run(ms(2000))
-    lost_and_back(world)
+    restart_all(world)
     world.submit("entry0", "r1", job("j1", count=2))
     world.run(ms(20))
     assert len(world.starts_of("j1")) == 2
@@ -34,10 +33,9 @@
 
 
 def test_a_job_runs_at_once_when_the_processes_are_back_and_the_workers_lived():
-    """All processes are killed, and the workers live on. A worker refuses a new
-    sidecar's first hold, since it has seen a higher token, and says its clock with the
-    refusal. The next hold followed a tick later, and its answer was told after another.
-    A run may be in the middle of its stop, so a job waits for as long as a stop takes.
+    """A worker that lives on refuses the first lease renewal of a new sidecar, because
+    it has seen a higher fencing token. The next renewal must follow at once; a job then
+    waits only until stops of old runs have taken effect.
     """
     world = World()
     world.run(ms(2000))
--- a/tests/runs/test_job_lifecycle.py
+++ b/tests/runs/test_job_lifecycle.py
@@ -1,4 +1,4 @@
-"""A job's whole path through the reducers, calm and with one fault each."""
+"""The life cycle of a job through the reducers, with at most one fault."""
 
 from gypsumspoke.runs.admission import WORKER_DISCOVERY_TIMEOUT
 from gypsumspoke.runs.coordinator import is_ready
@@ -7,7 +7,7 @@
 
 
 def settled(**more) -> World:
-    """Return a deployment that has run for two seconds."""
+    """Return a world that has run for two seconds."""
     world = World(**more)
     world.run(ms(2000))
     return world
@@ -71,10 +71,9 @@
     assert len(world.starts_of("j1")) == 3
 
 
-def test_a_copy_attaches_to_the_running_job():
-    """The caller's first connection breaks in the middle and it sends the job again to
-    the same entry, which has not noticed the break. Were the copy run apart, two runs
-    of each task would be at work; instead both requests get the one answer.
+def test_a_resubmission_attaches_to_the_running_job():
+    """Coordinated separately, a resubmission to the same entry would run each task
+    twice at once.
     """
     world = settled()
     world.submit("entry0", "r1", job("j1"))
@@ -94,10 +93,9 @@
     assert not any(worker.running for worker in world.workers.values())
 
 
-def test_a_job_that_comes_again_at_once_waits_for_its_old_runs():
-    """A caller leaves and sends the same job again a moment later to the same entry.
-    The stops of the old runs are still under way; a new run placed on another worker at
-    once would be at work beside the old one.
+def test_a_job_that_is_resubmitted_at_once_waits_for_its_old_runs():
+    """A run placed on another worker before the old one has stopped would run beside
+    it.
     """
     world = settled()
     world.submit("entry0", "r1", job("j1", count=1))
@@ -142,9 +140,8 @@
 
 
 def test_jobs_wait_for_workers_while_the_entry_is_new():
-    """All processes were lost and are back. Callers are there before the sidecars have
-    heard of their workers; refused now, their jobs would be lost though a worker is
-    ready half a second later.
+    """After a restart of all processes, callers may connect before the workers have
+    registered; their jobs must not be refused.
     """
     world = World(sidecars=0)
     world.submit("entry0", "r1", job("j1"))
@@ -156,7 +153,7 @@
     assert world.end_of("r1") is JobEnd.COMPLETED
 
 
-def test_a_service_without_workers_is_refused_at_once_later():
+def test_a_job_without_workers_is_refused_at_once_after_the_discovery_timeout():
     world = World(sidecars=0)
     world.run(WORKER_DISCOVERY_TIMEOUT)
     world.submit("entry0", "r1", job("j1"))
--- a/tests/runs/test_load.py
+++ b/tests/runs/test_load.py
@@ -1,4 +1,4 @@
-"""More work than an entry's own processor carries, though the workers have room."""
+"""Overload of an entry's own processor while the workers have room."""
 
 from collections import Counter
 from datetime import timedelta
@@ -17,45 +17,44 @@
 ENTRY = "entry0"
 SIDECARS = 16
 SECONDS = 4
-PATIENCE = ms(1500)
-# In milliseconds of a processor. With its end and its reports a job costs some 14, and
-# the regular reports take a seventh of the processor.
+CALLER_TIMEOUT = ms(1500)
+# Processor time of each event in milliseconds.
 JOB_COST, END_COST, REPORT_COST, REFUSAL_COST = 8, 4, 0.8, 0.4
-# A look for room, which follows a report or an end while tasks wait.
-LOOK_COST = 1.5
-CARRIED = 60
-SLOW_SINCE, SLOW_FOR = ms(2500), ms(600)
+# A scan for room after a report or an end while tasks are queued.
+SCAN_COST = 1.5
+CAPACITY_PER_SECOND = 60
+SLOW_START, SLOW_DURATION = ms(2500), ms(600)
 
 
 def cost(world: World, event) -> timedelta:
     """Return the processor time that an event takes at the entry."""
-    look = LOOK_COST if world.processes[ENTRY].state.waiting else 0
+    scan = SCAN_COST if world.processes[ENTRY].state.waiting else 0
     if isinstance(event, JobArrived):
         return ms(JOB_COST)
     if isinstance(event, Received) and isinstance(event.message, RunEnded):
-        return ms(END_COST + look)
+        return ms(END_COST + scan)
     if isinstance(event, Received) and isinstance(event.message, WorkerReport):
-        return ms(REPORT_COST + look)
+        return ms(REPORT_COST + scan)
     return ms(0.05)
 
 
 def slow_cost(world: World, event) -> timedelta:
-    """Return the same in a process that has a fifth of its processor for a moment."""
-    is_slow = SLOW_SINCE <= world.now - START < SLOW_SINCE + SLOW_FOR
+    """Return the same for an entry that has less processor time for a while."""
+    is_slow = SLOW_START <= world.now - START < SLOW_START + SLOW_DURATION
     return cost(world, event) * (5 if is_slow else 1)
 
 
-class Played(NamedTuple):
-    """What came of a load."""
+class LoadResult(NamedTuple):
+    """The outcome of a load: the world, send times by request, and throughput."""
 
     world: World
     sent_at: dict
-    good: float
+    completed_per_second: float
 
 
 @cache
-def play(per_second: int, cost_of=cost) -> Played:
-    """Send so many jobs a second to an entry that is short of processor time."""
+def run_load(per_second: int, cost_of=cost) -> LoadResult:
+    """Send jobs at a constant rate to an entry with bounded processor time."""
     world = World(entries=1, sidecars=SIDECARS)
     world.run(ms(1500))
     world.costs[ENTRY] = partial(cost_of, world)
@@ -64,40 +63,41 @@
     for number in range(per_second * SECONDS):
         request = f"r{number}"
         sent_at[request] = world.now
-        world.submit(ENTRY, request, job(f"j{number}", count=1), PATIENCE)
+        world.submit(ENTRY, request, job(f"j{number}", count=1), CALLER_TIMEOUT)
         world.run(timedelta(seconds=1 / per_second))
     world.run(ms(3000))
     done = sum(world.end_of(request) is JobEnd.COMPLETED for request in sent_at)
-    return Played(world, sent_at, done / SECONDS)
+    return LoadResult(world, sent_at, done / SECONDS)
 
 
-def test_an_entry_carries_what_its_processor_allows():
-    assert play(CARRIED).good == CARRIED
+def test_an_entry_completes_all_jobs_at_its_capacity():
+    assert run_load(CAPACITY_PER_SECOND).completed_per_second == CAPACITY_PER_SECOND
 
 
 @pytest.mark.parametrize("times", [1.5, 2, 3])
-def test_more_load_does_not_lower_what_is_done(times):
-    """Callers of one entry got next to nothing: it took all jobs, answered each later
-    than the one before, called its sidecars lost and did their work again.
+def test_overload_does_not_lower_the_throughput(times):
+    """An entry that accepted all jobs fell behind, took its sidecars for silent and ran
+    their tasks again.
     """
-    assert play(int(CARRIED * times)).good >= CARRIED * 0.95
+    assert (
+        run_load(int(CAPACITY_PER_SECOND * times)).completed_per_second
+        >= CAPACITY_PER_SECOND * 0.95
+    )
 
 
-def test_a_slow_moment_does_not_outlast_itself():
-    """An entry that carries its load was slow for half a second. The jobs that had come
-    meanwhile kept it behind, so it went on to answer a third of the load for good.
-    """
-    played = play(CARRIED, slow_cost)
-    again = START + SLOW_SINCE + SLOW_FOR + ms(700)
-    after = [request for request, at in played.sent_at.items() if at >= again]
-    ends = Counter(played.world.end_of(request) for request in after)
-    assert len(after) > CARRIED
+def test_an_entry_recovers_after_a_slow_period():
+    """The jobs that arrived in a short slow period kept an entry behind for good."""
+    result = run_load(CAPACITY_PER_SECOND, slow_cost)
+    recovered = START + SLOW_START + SLOW_DURATION + ms(700)
+    after = [request for request, at in result.sent_at.items() if at >= recovered]
+    ends = Counter(result.world.end_of(request) for request in after)
+    assert len(after) > CAPACITY_PER_SECOND
     assert set(ends) == {JobEnd.COMPLETED}
 
 
-def test_what_is_refused_for_it_has_not_run_and_is_told_at_once():
-    played = play(CARRIED * 3)
-    world = played.world
+def test_jobs_refused_by_an_overloaded_entry_have_not_run_and_are_answered_at_once():
+    result = run_load(CAPACITY_PER_SECOND * 3)
+    world = result.world
     refused = [
         request
         for request, answer in world.answers.items()
@@ -109,14 +109,14 @@
         assert answer.end is JobEnd.NOT_RUN
         assert answer.retry_after >= ms(1000)
         assert world.starts_of(f"j{request[1:]}") == []
-        assert world.answered_at[request] - played.sent_at[request] <= ms(400)
+        assert world.answered_at[request] - result.sent_at[request] <= ms(400)
 
 
-def test_an_entry_that_is_behind_calls_no_sidecar_lost():
-    """Reports lay unread for a second. Their age was counted from when they were
-    handled, all sidecars seemed silent, and the entry gave up jobs that ran well.
+def test_an_overloaded_entry_takes_no_sidecar_for_silent():
+    """An entry counted the age of unread reports as silence of its sidecars, and gave
+    up jobs that ran well.
     """
-    world = play(CARRIED * 3).world
+    world = run_load(CAPACITY_PER_SECOND * 3).world
     reasons = Counter(
         effect.what for _, _, effect in world.log if hasattr(effect, "what")
     )
@@ -126,15 +126,15 @@
     assert not world.broken
 
 
-def test_an_entry_takes_all_jobs_again_when_the_load_is_over():
-    world = play(CARRIED * 3).world
+def test_an_entry_accepts_all_jobs_again_after_an_overload():
+    world = run_load(CAPACITY_PER_SECOND * 3).world
     state = world.processes[ENTRY].state
     assert state.load_shedder.refused_share == 0
     assert not state.jobs
 
 
-def play_unread(heard_advances: bool) -> World:
-    """Let two seconds pass for an entry in which no report is handled."""
+def run_without_reports(heard_advances: bool) -> World:
+    """Run an entry for two seconds in which it handles no report."""
     world = World(entries=1, sidecars=2)
     world.run(ms(1500))
     world.submit(ENTRY, "r1", job("j1", count=2), ms(9000))
@@ -149,29 +149,29 @@
     return world
 
 
-def told(world: World) -> set[str]:
-    """Return the sentences that were logged."""
+def logged_messages(world: World) -> set[str]:
+    """Return the messages of all log lines."""
     return {effect.event for _, _, effect in world.log if isinstance(effect, Log)}
 
 
-def test_reports_that_are_not_read_yet_are_no_silence():
-    """An entry is behind and handles no report for two seconds, though all sidecars
-    send theirs. It took them for silent, gave up its jobs and refused new ones.
+def test_unread_reports_are_no_silence():
+    """An overloaded entry took sidecars with unread reports for silent, gave up its
+    jobs and refused new ones.
     """
-    world = play_unread(heard_advances=False)
-    assert "no sidecar heard" not in told(world)
+    world = run_without_reports(heard_advances=False)
+    assert "no sidecar heard" not in logged_messages(world)
     assert world.processes[ENTRY].state.jobs.keys() == {"j1"}
 
 
-def test_sidecars_that_are_silent_are_given_up_by_an_entry_that_keeps_up():
-    world = play_unread(heard_advances=True)
-    assert "no sidecar heard" in told(world)
+def test_silent_sidecars_are_given_up_by_an_entry_that_has_read_everything():
+    world = run_without_reports(heard_advances=True)
+    assert "no sidecar heard" in logged_messages(world)
     assert not world.processes[ENTRY].state.jobs
 
 
-def test_no_order_is_sent_that_is_too_old_to_be_taken():
-    """An entry decided on reports that it had handled a moment ago and read long
-    before. Its orders were sent back as stale, and it placed the tasks again and again.
+def test_no_placement_is_based_on_a_stale_report():
+    """An entry placed tasks by reports that it had read long before. The sidecars
+    refused the placements as stale, and the entry repeated them endlessly.
     """
     world = World(entries=1, sidecars=2)
     world.run(ms(1510))
@@ -180,6 +180,6 @@
     event = JobArrived("r1", job("j1"), ROUTE, late + ms(5000))
     arrival = Arrival(world.now, world.now, world.now)
     effects = entry.reduce(entry.state, Timed(arrival, event), late)
-    orders = [effect for effect in effects if isinstance(effect, Send)]
-    assert orders == []
+    sends = [effect for effect in effects if isinstance(effect, Send)]
+    assert sends == []
     assert entry.state.waiting.keys() == {"j1"}
--- a/tests/runs/test_overload.py
+++ b/tests/runs/test_overload.py
@@ -1,4 +1,4 @@
-"""Load at its worst: how work waits, is refused and placed."""
+"""Overload of the workers: queueing, refusal and placement of jobs."""
 
 from gypsumspoke.core.effects import Send
 from gypsumspoke.runs.admission import expected_wait
@@ -10,7 +10,7 @@
 
 
 def placements(world: World) -> int:
-    """Return how many runs the entries have placed."""
+    """Return the number of runs that the entries have placed."""
     return sum(
         isinstance(effect, Send) and isinstance(effect.message, PlaceRun)
         for _, _, effect in world.log
@@ -18,9 +18,8 @@
 
 
 def test_a_worker_that_fails_all_gets_a_task_now_and_then():
-    """One worker fails all that it starts and the other is full. Tasks that the first
-    one refuses must wait for the other; sent back to the first at once, they went to
-    and fro a thousand times a second and nothing else was placed.
+    """With one worker failing all runs and the other full, refused tasks went back to
+    the failing worker at once and endlessly, and nothing else was placed.
     """
     world = settled()
     broken = world.workers["side0"]
@@ -35,10 +34,7 @@
 
 
 def test_jobs_in_time_go_before_jobs_that_are_late_already():
-    """A burst fills the queue until its jobs are late. A job that comes then is still
-    in time if it goes first, and the late ones lose little; in order of arrival every
-    job after the burst would be late too, by as much.
-    """
+    """In order of arrival, every job after a burst would be as late as the burst."""
     world = settled(sidecars=1)
     for number in range(12):
         world.submit("entry0", f"a{number}", job(f"a{number}", count=2), ms(9000))
@@ -51,9 +47,9 @@
     assert ends == {JobEnd.COMPLETED}
 
 
-def test_what_can_not_be_done_in_time_is_refused_before_it_runs():
-    """Ten times as many jobs come as the worker can do within their deadline. Those
-    beyond it are refused at once, or as soon as it shows, and none of them has run.
+def test_jobs_that_can_not_be_in_time_are_refused_before_they_run():
+    """Of many more jobs than the worker completes within their deadline, the excess
+    is refused and has not run.
     """
     world = settled(sidecars=1)
     for number in range(60):
@@ -68,8 +64,8 @@
 
 
 def test_long_tasks_are_not_starved_on_the_fast_worker():
-    """Short tasks keep coming, and would all be soonest on the fast worker. Long tasks
-    are in time only there; the short ones leave it to them.
+    """Short tasks, which would all end soonest on the fast worker, leave it to long
+    tasks, which are in time only there.
     """
     world = World(sidecars=0)
     for host, pace in (("side0", 0.6), ("side1", 1.0), ("side2", 1.0)):
@@ -90,10 +86,8 @@
 
 
 def test_workers_of_another_service_do_not_shorten_the_wait():
-    """Work for one service waits in front of a new job, and its only worker is full.
-    Nine workers of another service stand idle. Counted in, they made the wait seem a
-    tenth as long, so the job was taken, waited, and was refused when it was too late
-    for its caller to go elsewhere.
+    """Idle workers of another service made the estimated wait too short, so that a job
+    was accepted and refused only after its caller had waited.
     """
     world = settled(sidecars=1)
     state = world.processes["entry0"].state
@@ -110,9 +104,7 @@
 
 
 def test_a_job_that_can_not_be_in_time_any_more_lets_others_go_before():
-    """A burst fills the queue. Its last jobs can't end in time any more, though their
-    time is not over. A job that comes then still can; behind them it would be late too.
-    """
+    """A new job behind queued jobs that can't be in time any more would be late too."""
     world = settled(sidecars=1)
     for number in range(6):
         world.submit("entry0", f"a{number}", job(f"a{number}", count=2), ms(9000))
--- a/tests/runs/test_placement.py
+++ b/tests/runs/test_placement.py
@@ -1,4 +1,4 @@
-"""Which worker a task takes."""
+"""Choice of the worker for a task."""
 
 import pytest
 
@@ -82,7 +82,7 @@
         {"capacity": Room(2000, 64000, 0)},
     ],
 )
-def test_a_worker_that_can_not_take_it_is_left_out(more):
+def test_a_worker_that_can_not_run_the_task_is_skipped(more):
     assert place([view("one", **more)]) is None
 
 
@@ -106,15 +106,14 @@
     assert place([failing]) is None
 
 
-def test_how_much_longer_a_task_takes_away_from_its_data_is_the_platforms_word():
-    """A task's data is on the rack of a busy worker; another rack's worker is free. How
-    late the task would be there depends on the platform's slowdown: with a small one it
-    goes there in time, with a large one it waits for its rack.
+def test_the_remote_slowdown_decides_whether_a_task_waits_for_its_rack():
+    """A task whose rack is busy goes to a free worker elsewhere only if the slowdown
+    still lets it be in time there.
     """
     step = STEP._replace(rack="r1")
     near = view("near", free=0, labels=("r1",))
     far = view("far", labels=("r2",))
     seconds = step.estimate.total_seconds()
-    wanted = PlacementRequest("estimate", step, RUN, 2 * seconds, remote_slowdown=1.2)
-    assert choose([near, far], wanted, START).view is far
-    assert choose([near, far], wanted._replace(remote_slowdown=3.0), START) is None
+    request = PlacementRequest("estimate", step, RUN, 2 * seconds, remote_slowdown=1.2)
+    assert choose([near, far], request, START).view is far
+    assert choose([near, far], request._replace(remote_slowdown=3.0), START) is None
--- a/tests/runs/test_placing_rounds.py
+++ b/tests/runs/test_placing_rounds.py
@@ -1,4 +1,4 @@
-"""How often an entry looks for room for the tasks that wait."""
+"""How often an entry tries to place its queued tasks."""
 
 import pytest
 
@@ -11,14 +11,14 @@
 
 
 @pytest.fixture
-def looks(monkeypatch):
-    """Return the tasks for which a worker was looked for."""
+def searches(monkeypatch):
+    """Return the runs for which a worker was searched."""
     found = []
     choose = assignment.choose
 
-    def count(views, wanted, now):
-        found.append(wanted.run)
-        return choose(views, wanted, now)
+    def count(views, request, now):
+        found.append(request.run)
+        return choose(views, request, now)
 
     monkeypatch.setattr(assignment, "choose", count)
     return found
@@ -26,7 +26,7 @@
 
 @pytest.fixture
 def world():
-    """Return a world whose two workers are full while jobs wait."""
+    """Return a world with two full workers and queued jobs."""
     made = settled()
     for number in range(12):
         made.submit("entry0", f"r{number}", job(f"j{number}", count=2), ms(9000))
@@ -52,7 +52,7 @@
 
 
 def placed(effects):
-    """Return the orders to start a run."""
+    """Return the placements among some effects."""
     return [
         effect
         for effect in effects
@@ -60,16 +60,16 @@
     ]
 
 
-def test_a_report_without_more_room_starts_no_round(world, looks):
-    """Each report made the entry look for room again, until that was all it did."""
+def test_a_report_without_more_room_starts_no_round(world, searches):
+    """Placing rounds after each report used up the entry's processor time."""
     state = world.processes["entry0"].state
     for sender, report in reports(world):
         report = report._replace(stamp=report.stamp + ms(1))
         coordinator.reduce(state, Received(sender, report), world.now)
-    assert looks == []
+    assert searches == []
 
 
-def test_a_report_of_more_room_places_what_waits(world):
+def test_a_report_of_more_room_places_queued_tasks(world):
     state = world.processes["entry0"].state
     sender, report = reports(world)[0]
     sent = state.views[sender].sent
@@ -78,15 +78,15 @@
     assert placed(effects)
 
 
-def test_events_of_one_turn_share_one_round(world, looks):
-    """Under load each of many queued ends cost a look at all workers of its own."""
+def test_events_of_one_turn_share_one_round(world, searches):
+    """Under load, each of many run ends caused a placing round."""
     state = world.processes["entry0"].state
     for sender, run in ends(world):
         ended = RunEnded(run, RunEnd.DONE, EndReason.COMPLETED, ms(100), 1)
         effects = coordinator.handle_event(state, Received(sender, ended), world.now)
         assert not placed(effects)
-    assert looks == []
+    assert searches == []
     assert placed(coordinator.handle_event(state, TURN_ENDED, world.now))
-    looks.clear()
+    searches.clear()
     assert coordinator.handle_event(state, TURN_ENDED, world.now) == []
-    assert looks == []
+    assert searches == []
--- a/tests/runs/test_reports.py
+++ b/tests/runs/test_reports.py
@@ -1,4 +1,4 @@
-"""What entries know of a worker's room, and what becomes of a run that finds none."""
+"""Reports of a worker's room to entries, and placements that find no room."""
 
 from gypsumspoke.core.effects import Send
 from gypsumspoke.runs.budget import LONGEST_TICK
@@ -11,9 +11,8 @@
 
 
 def test_a_run_that_finds_no_room_goes_where_there_is_some():
-    """Two entries place work on the same worker at the same moment, each unaware of the
-    other's. What came last does not wait for that worker: it is sent back with a fresh
-    report and starts on the other one within a few milliseconds.
+    """Two entries place runs on the same worker at once. The sidecar sends the last
+    ones back with a new report, and they start on another worker without delay.
     """
     world = World(sidecars=0)
     for host, pace in (("side0", 0.5), ("side1", 1.0)):
@@ -32,7 +31,7 @@
     assert world.end_of("r0") is world.end_of("r1") is JobEnd.COMPLETED
 
 
-def test_every_entry_hears_of_taken_room_soon():
+def test_changes_of_room_are_reported_to_all_entries_soon():
     world = settled(sidecars=1)
     world.run(CHANGE_INTERVAL)
     world.submit("entry0", "r0", job("j0", count=1))
@@ -42,7 +41,7 @@
 
 
 def pulse_times(world, entry):
-    """Return when an entry sent proof of life to a sidecar beside orders."""
+    """Return when an entry sent pulses to sidecars."""
     return [
         time
         for time, name, effect in world.log
@@ -53,9 +52,7 @@
 
 
 def test_an_entry_without_runs_answers_few_reports():
-    """Answers to all reports of all sidecars, ten a second each, cost both sides more
-    than anything else at rest.
-    """
+    """Answers to all reports of all sidecars use up processor time at rest."""
     world = settled(sidecars=1)
     start = world.now
     world.run(ms(3000))
@@ -66,7 +63,7 @@
 
 
 def test_an_entry_with_a_run_answers_reports_within_a_tick():
-    """Its sidecar would stop the run after five ticks of silence."""
+    """The sidecar stops runs of a silent entry."""
     world = settled(sidecars=1)
     world.workers["side0"].takes = lambda task: ms(1000)
     world.submit("entry0", "r0", job("j0", count=1, estimate=ms(1000)))
@@ -80,9 +77,9 @@
 
 
 def test_a_run_whose_task_has_an_older_run_here_waits_for_its_end():
-    """A caller comes back through another entry while the worker still runs the first
-    entry's run. The new run starts when that one is gone, and the first entry gives the
-    job up: placing it again, it would end the new run, and so on for ever.
+    """A job is resubmitted through another entry while the first entry's run lives. The
+    new run starts after its end, and the first entry gives the job up; otherwise the
+    two entries would end each other's runs endlessly.
     """
     world = settled(sidecars=1)
     world.submit("entry0", "r0", job("j0", count=1))
@@ -95,10 +92,8 @@
     assert len(world.starts_of("j0")) == 2
 
 
-def test_a_worker_that_turns_slow_is_told_by_what_runs():
-    """A worker turns five times slower. Its next ends are far away; its runs show it in
-    their progress, and entries learn it before they place much more there.
-    """
+def test_a_slow_worker_is_detected_before_its_runs_end():
+    """The pace in reports follows the progress of runs, not only their ends."""
     world = World(sidecars=1)
     world.run(ms(2000))
     step = job("warm").steps[0]
@@ -117,9 +112,8 @@
 
 
 def test_a_busy_sidecar_does_not_flood_many_entries():
-    """Eight entries place tasks of a few milliseconds, and the worker's room changes
-    all the time. Told of each change as often as a few entries are, they would take 480
-    reports a second from each sidecar, and with many sidecars do little else.
+    """Short tasks of many entries change the room all the time. A report of each change
+    to each entry would use up the entries' processor time.
     """
     world = World(entries=8, sidecars=0)
     world.pace["side0"] = 0.02
--- a/tests/runs/test_routing.py
+++ b/tests/runs/test_routing.py
@@ -1,4 +1,4 @@
-"""Which route a request takes."""
+"""Routing of requests."""
 
 import pytest
 
@@ -32,5 +32,5 @@
 @pytest.mark.parametrize(
     "host, path", [("c.example", "/x/1"), ("a.example", "/y/1"), ("", ""), ("a", "/x")]
 )
-def test_what_no_route_names_has_none(host, path):
+def test_a_request_that_matches_no_route_has_none(host, path):
     assert TABLE.find(host, path) is None
--- a/tests/runs/walk.py
+++ b/tests/runs/walk.py
@@ -1,10 +1,11 @@
-"""Random walks over the promises of best-effort jobs, one for each seed.
+"""Random walks over the guarantees of best-effort jobs, one for each seed.
 
-A walk draws jobs and faults in any order, several at once, and lets the system settle.
-At no time may two runs of a task be at work, a worker be over its room, or a job run
-that was answered "not run" to every copy. At the end the system must serve.
+A walk submits jobs and injects faults in random order, also several at once, and then
+lets the system recover. At no time may two runs of a task be live, a worker exceed its
+room, or a job have run of which every request was answered "not run". At the end the
+system must serve new jobs.
 
-A long search: ``python -m tests.runs.walk 0 1000`` lists the seeds that fail.
+``python -m tests.runs.walk 0 1000`` lists the failing seeds of a longer search.
 """
 
 import random
@@ -26,10 +27,10 @@
 
 
 class Walk:
-    """One walk.
+    """A random walk.
 
     Args:
-      seed: decides everything.
+      seed: seed of all random choices.
       budget: the time budget of all processes.
     """
 
@@ -43,12 +44,12 @@
         self.tries: dict[str, list[str]] = {}
 
     def play(self) -> list[str]:
-        """Play the walk and return the broken promises."""
+        """Play the walk and return the broken guarantees."""
         self.world.run(ms(2000))
         for _ in range(self.STEPS):
             self._step()
             self.world.run(ms(self.random.choice((1, 10, 60, 150, 400))))
-        self._mend()
+        self._clear_faults()
         self.world.run(ms(15_000))
         self._check_refusals()
         self._check_service()
@@ -59,16 +60,16 @@
 
     def _steps(self) -> list[Callable[[], None]]:
         return [self._submit] * 8 + [
-            self._leave,
+            self._abandon_random_request,
             self._restart,
             self._restart,
             self._lose_power,
             self._freeze,
-            self._cut,
-            self._reset,
+            self._cut_connection,
+            self._reset_connection,
             self._crash_worker,
             self._silence_worker,
-            self._spoil_orders,
+            self._inject_command_faults,
         ]
 
     def _submit(self) -> None:
@@ -78,7 +79,7 @@
         self._send(name, self.random.choice(ENTRIES), self.random.randint(1, 4))
 
     def _send(self, name: str, host: str, count: int) -> None:
-        """Send a copy; the next one follows as early as a caller may send it."""
+        """Send a request, and resubmissions as early as a caller may send them."""
         process = self.world.processes[host]
         if not process.alive or len(self.tries[name]) >= 3:
             return
@@ -90,18 +91,18 @@
         self._watch(name, count, host, process.name, request, 0)
 
     def _watch(self, name, count, host, incarnation, request, waited) -> None:
-        """Look every 20 ms whether the caller has to send again."""
+        """Check every 20 ms whether the caller has to resubmit."""
         step = ms(20)
 
         def look() -> None:
             end = self.world.end_of(request)
             if end is JobEnd.GIVEN_UP:
-                self._again_after_pause(name, count)
+                self._resubmit_after_delay(name, count)
             elif end is not None:
                 return
             elif self._is_lost(host, incarnation) or waited > 3100:
-                self._leave_request(host, incarnation, request)
-                self._again_after_pause(name, count)
+                self._abandon_request(host, incarnation, request)
+                self._resubmit_after_delay(name, count)
             else:
                 self._watch(name, count, host, incarnation, request, waited + 20)
 
@@ -111,17 +112,17 @@
         process = self.world.processes[host]
         return process.name != incarnation or not process.alive
 
-    def _leave_request(self, host: str, incarnation: str, request: str) -> None:
+    def _abandon_request(self, host: str, incarnation: str, request: str) -> None:
         if not self._is_lost(host, incarnation):
             self.world.leave(host, request)
 
-    def _again_after_pause(self, name: str, count: int) -> None:
+    def _resubmit_after_delay(self, name: str, count: int) -> None:
         host = self.random.choice(ENTRIES)
         self.world.at(
             self.world.budget.bounds.resend, lambda: self._send(name, host, count)
         )
 
-    def _leave(self) -> None:
+    def _abandon_random_request(self) -> None:
         waiting = [
             (name, tries[-1])
             for name, tries in self.tries.items()
@@ -156,7 +157,7 @@
         if not self.world.processes[host].frozen:
             self.world.freeze(host, ms(self.random.choice((300, 900, 3000))))
 
-    def _cut(self) -> None:
+    def _cut_connection(self) -> None:
         one = self.random.choice(ENTRIES)
         other = self.random.choice(SIDES)
         self.world.cut_off(one, other)
@@ -167,7 +168,7 @@
         else:
             self.world.at(after, lambda: self.world.heal(one, other))
 
-    def _reset(self) -> None:
+    def _reset_connection(self) -> None:
         self.world.heal(self.random.choice(ENTRIES), self.random.choice(SIDES))
 
     def _crash_worker(self) -> None:
@@ -179,11 +180,11 @@
         after = ms(self.random.choice((200, 1500)))
         self.world.at(after, lambda: self.world.silent_workers.discard(host))
 
-    def _spoil_orders(self) -> None:
+    def _inject_command_faults(self) -> None:
         self.world.late_share = self.random.choice((0.0, 0.05, 0.3))
         self.world.lost_share = self.random.choice((0.0, 0.05, 0.2))
 
-    def _mend(self) -> None:
+    def _clear_faults(self) -> None:
         self.world.late_share = self.world.lost_share = 0.0
         self.world.silent_workers.clear()
         self.world.cut.clear()
@@ -210,17 +211,17 @@
                 self.world.broken.append(f"{host} does not serve after the faults")
 
 
-class CutOffWalk(Walk):
+class IsolationWalk(Walk):
     """A walk on which entries are also cut off from all sidecars.
 
-    A class of its own, so that the seeds of the others go on to mean the same walks.
+    A separate class, so that seeds of the other walks keep their meaning.
     """
 
     def _steps(self) -> list[Callable[[], None]]:
-        return [*super()._steps(), self._cut_off, self._cut_off]
+        return [*super()._steps(), self._isolate_entry, self._isolate_entry]
 
-    def _cut_off(self) -> None:
-        """Cut an entry off; callers still reach it."""
+    def _isolate_entry(self) -> None:
+        """Cut an entry off from all sidecars; callers still reach it."""
         entry = self.random.choice(ENTRIES)
         after = ms(self.random.choice((900, 1400, 4000)))
         for side in SIDES:
@@ -228,8 +229,8 @@
             self.world.at(after, partial(self.world.heal, entry, side))
 
 
-class Spoiling(Enum):
-    """How orders of a kind are spoilt."""
+class FaultKind(Enum):
+    """What happens to a command."""
 
     ANSWER_LOST = "answer lost"
     LOST = "lost"
@@ -238,15 +239,15 @@
     MIXED = "mixed"
 
 
-class Spoilt(NamedTuple):
-    """How, and what share of them."""
+class Fault(NamedTuple):
+    """A fault that affects a share of the commands of one kind."""
 
-    how: Spoiling
+    kind: FaultKind
     share: float
 
 
 class OpenRequest(NamedTuple):
-    """A request that a caller waits for: of which job, at which process."""
+    """A request without an answer: its job, and the process that has it."""
 
     name: str
     count: int
@@ -254,27 +255,27 @@
     incarnation: str
 
 
-class OrdersWalk(Walk):
-    """A walk on which single kinds of orders and their answers go astray.
+class CommandFaultWalk(Walk):
+    """A walk on which single kinds of commands and their answers are lost or delayed.
 
-    Starts, stops and holds of a sidecar are lost, late or slow, each by itself, and
-    overtake each other. Sidecars are replaced while runs live, also twice in a row.
-    Runs last longer than callers wait, and callers are back exactly at the bound.
+    Commands of a sidecar also overtake each other. Sidecars are replaced while runs are
+    live, also twice in a row. Runs last longer than callers wait, and callers resubmit
+    as early as they may.
     """
 
     STEPS = 150
-    PATIENCE = timedelta(milliseconds=3100)
+    CALLER_TIMEOUT = timedelta(milliseconds=3100)
     GRACE = timedelta(milliseconds=6000)
-    # Longer than an order of the process before may be under way and a stop may take,
-    # but for orders that are carried out late.
-    START_UP = timedelta(milliseconds=150)
+    # Longer than a command of the previous process may be in transit and a stop takes,
+    # except for commands that are carried out late.
+    MIN_RESTART_DELAY = timedelta(milliseconds=150)
 
     def __init__(self, seed: int, budget: Budget = DEFAULT_BUDGET) -> None:
         super().__init__(seed, budget)
-        self.spoilt: dict[tuple[str, type], Spoilt] = {}
+        self.faults: dict[tuple[str, type], Fault] = {}
         self.open: dict[str, OpenRequest] = {}
         self.world.fate = self._fate
-        self.world.on_answer = self._take_answer
+        self.world.on_answer = self._handle_answer
         self.world.wakes_with_a_tick = True
         for host in SIDES:
             self.world.clock_rate[host] = self.random.choice((1.0, 0.98))
@@ -282,15 +283,15 @@
             self.world.start_worker(host)
 
     def _steps(self) -> list[Callable[[], None]]:
-        spoiling = [*[self._spoil_kind] * 4, *[self._let_overtake] * 2]
-        leaving = [self._come_back] * 2
+        commands = [*[self._inject_fault] * 4, *[self._inject_reordering] * 2]
+        resubmitting = [self._abandon_and_resubmit_random] * 2
         replacing = [self._replace, self._replace_twice, self._stop_gracefully]
-        return [*super()._steps(), *spoiling, *leaving, *replacing]
+        return [*super()._steps(), *commands, *resubmitting, *replacing]
 
-    # Orders
+    # Commands
 
-    def _spoil_kind(self) -> None:
-        """Spoil one or two kinds of orders of one sidecar, or of all, for a while."""
+    def _inject_fault(self) -> None:
+        """Inject a fault into some kinds of commands of one or all sidecars."""
         hosts = self.random.choice((*((side,) for side in SIDES), SIDES))
         kinds = self.random.choice(
             (
@@ -301,42 +302,45 @@
                 (StartOrder, StopOrder, HoldOrder),
             )
         )
-        spoilt = Spoilt(
-            self.random.choice(list(Spoiling)), self.random.choice((0.3, 0.7, 1.0))
+        fault = Fault(
+            self.random.choice(list(FaultKind)), self.random.choice((0.3, 0.7, 1.0))
         )
         after = ms(self.random.choice((300, 1500, 5000)))
         for key in [(host, kind) for host in hosts for kind in kinds]:
-            self.spoilt[key] = spoilt
-            self.world.at(after, partial(self.spoilt.pop, key, None))
+            self.faults[key] = fault
+            self.world.at(after, partial(self.faults.pop, key, None))
 
-    def _let_overtake(self) -> None:
-        """Let starts and lists of one sidecar overtake each other for a while."""
+    def _inject_reordering(self) -> None:
+        """Let starts and renewals of one sidecar overtake each other for a while."""
         host = self.random.choice(SIDES)
         after = ms(self.random.choice((1500, 5000)))
-        for kind, how in ((StartOrder, Spoiling.MIXED), (HoldOrder, Spoiling.SLOW)):
-            self.spoilt[host, kind] = Spoilt(how, self.random.choice((0.5, 1.0)))
-            self.world.at(after, partial(self.spoilt.pop, (host, kind), None))
-
-    def _fate(self, host: str, order: Any) -> Fate | None:
-        spoilt = self.spoilt.get((host, type(order)))
-        if spoilt is None or self.random.random() >= spoilt.share:
+        for command, kind in (
+            (StartOrder, FaultKind.MIXED),
+            (HoldOrder, FaultKind.SLOW),
+        ):
+            self.faults[host, command] = Fault(kind, self.random.choice((0.5, 1.0)))
+            self.world.at(after, partial(self.faults.pop, (host, command), None))
+
+    def _fate(self, host: str, command: Any) -> Fate | None:
+        fault = self.faults.get((host, type(command)))
+        if fault is None or self.random.random() >= fault.share:
             return None
-        how = spoilt.how
-        if how is Spoiling.MIXED:
-            how = self.random.choice((Spoiling.ANSWER_LOST, Spoiling.SLOW))
-        # The connection breaks at once, or the shell gives up sooner or later.
-        patience = ms(self.random.choice((1, 20, 120)))
-        match how:
-            case Spoiling.ANSWER_LOST:
+        kind = fault.kind
+        if kind is FaultKind.MIXED:
+            kind = self.random.choice((FaultKind.ANSWER_LOST, FaultKind.SLOW))
+        # The connection breaks at once, or the request times out.
+        timeout = ms(self.random.choice((1, 20, 120)))
+        match kind:
+            case FaultKind.ANSWER_LOST:
                 arrives = self.random.choice((0, self.random.uniform(0, 20)))
-                return Fate(ms(arrives), None, patience)
-            case Spoiling.LOST:
-                return Fate(None, None, patience)
-            case Spoiling.LATE:
+                return Fate(ms(arrives), None, timeout)
+            case FaultKind.LOST:
+                return Fate(None, None, timeout)
+            case FaultKind.LATE:
                 return Fate(ms(self.random.uniform(2000, 12000)), None)
-        longest = self.random.choice((8, 80))
-        arrives = ms(self.random.uniform(0, longest))
-        return Fate(arrives, ms(self.random.uniform(0, longest)))
+        max_delay = self.random.choice((8, 80))
+        arrives = ms(self.random.uniform(0, max_delay))
+        return Fate(arrives, ms(self.random.uniform(0, max_delay)))
 
     # Callers
 
@@ -344,24 +348,26 @@
         opened = OpenRequest(name, count, host, incarnation)
         end = self.world.end_of(request)
         if end is JobEnd.GIVEN_UP:
-            self._return(opened)
+            self._resubmit(opened)
         elif end is None:
             self.open[request] = opened
-            self.world.at(self.PATIENCE, lambda: self._leave_and_return(request))
+            self.world.at(
+                self.CALLER_TIMEOUT, lambda: self._abandon_and_resubmit(request)
+            )
 
-    def _take_answer(self, answer: AnswerJob) -> None:
+    def _handle_answer(self, answer: AnswerJob) -> None:
         opened = self.open.pop(answer.request, None)
         if opened is not None and answer.end is JobEnd.GIVEN_UP:
-            self._return(opened)
+            self._resubmit(opened)
 
-    def _leave_and_return(self, request: str) -> None:
+    def _abandon_and_resubmit(self, request: str) -> None:
         opened = self.open.pop(request, None)
         if opened is not None:
-            self._leave_request(opened.host, opened.incarnation, request)
-            self._return(opened)
+            self._abandon_request(opened.host, opened.incarnation, request)
+            self._resubmit(opened)
 
-    def _return(self, opened: OpenRequest) -> None:
-        """Send again at the bound, through another entry as a rule."""
+    def _resubmit(self, opened: OpenRequest) -> None:
+        """Resubmit as early as allowed, usually through another entry."""
         others = [host for host in ENTRIES if host != opened.host]
         host = self.random.choice((*others * 3, opened.host))
         self.world.at(
@@ -369,54 +375,54 @@
             lambda: self._send(opened.name, host, opened.count),
         )
 
-    def _come_back(self) -> None:
-        """A caller closes its connection, and sends its job again."""
+    def _abandon_and_resubmit_random(self) -> None:
+        """Let a caller close its connection and resubmit its job."""
         if self.open:
-            self._leave_and_return(self.random.choice(sorted(self.open)))
+            self._abandon_and_resubmit(self.random.choice(sorted(self.open)))
 
     def _restart(self) -> None:
         super()._restart()
-        self._notice_lost()
+        self._resubmit_lost()
 
     def _lose_power(self) -> None:
         super()._lose_power()
-        self._notice_lost()
+        self._resubmit_lost()
 
-    def _notice_lost(self) -> None:
+    def _resubmit_lost(self) -> None:
         for request, opened in list(self.open.items()):
             if self._is_lost(opened.host, opened.incarnation):
-                self._leave_and_return(request)
+                self._abandon_and_resubmit(request)
 
     # Processes
 
     def _replace(self) -> None:
-        """Kill a sidecar; the next process is there as soon as it can be."""
+        """Kill a sidecar and restart it as early as possible."""
         host = self.random.choice(SIDES)
         self.world.kill(host)
         self._start(host)
 
     def _replace_twice(self) -> None:
-        """Kill a sidecar, and the next process of it soon after its start."""
+        """Kill a sidecar, and kill the next process soon after its start."""
         host = self.random.choice(SIDES)
         self.world.kill(host)
         self._start(host)
-        after = self.START_UP + ms(self.random.choice((3, 10, 30, 120, 300)))
+        after = self.MIN_RESTART_DELAY + ms(self.random.choice((3, 10, 30, 120, 300)))
         self.world.at(after, lambda: self.world.kill(host))
         self.world.at(after, lambda: self._start(host))
 
     def _start(self, host: str) -> None:
-        """Start a process that is gone; it is not there before ``START_UP``."""
+        """Start a process that is gone, after at least ``MIN_RESTART_DELAY``."""
         process = self.world.processes[host]
         if process.alive:
             return
-        left = process.died + self.START_UP - self.world.now
+        left = process.died + self.MIN_RESTART_DELAY - self.world.now
         if left <= timedelta():
             super()._start(host)
         else:
             self.world.at(left, lambda: self._start(host))
 
     def _stop_gracefully(self) -> None:
-        """Send SIGTERM, and SIGKILL after the grace; then the next process starts."""
+        """Send SIGTERM, SIGKILL after the grace period, and start the next process."""
         host = self.random.choice(ENTRIES + SIDES)
         process = self.world.processes[host]
         if not process.alive or process.frozen:
@@ -431,24 +437,24 @@
                 self.world.at(ms(100), look)
                 return
             self.world.kill(host)
-            self._notice_lost()
+            self._resubmit_lost()
             self._start(host)
 
         look()
 
-    def _mend(self) -> None:
+    def _clear_faults(self) -> None:
         super()._mend()
-        self.spoilt.clear()
+        self.faults.clear()
 
 
-KINDS = {"": Walk, "cut-off": CutOffWalk, "orders": OrdersWalk}
+KINDS = {"": Walk, "cut-off": IsolationWalk, "orders": CommandFaultWalk}
 
 
 def main() -> None:
     """Play the seeds from the first to the second argument.
 
-    A third argument, ``cut-off`` or ``orders``, plays the walks of ``CutOffWalk`` or
-    ``OrdersWalk``.
+    A third argument, ``cut-off`` or ``orders``, plays the walks of ``IsolationWalk`` or
+    ``CommandFaultWalk``.
     """
     first, last = int(sys.argv[1]), int(sys.argv[2])
     kind = KINDS[sys.argv[3] if sys.argv[3:] else ""]
