--- a/tests/runs/walk.py
+++ b/tests/runs/walk.py
@@ -443,7 +443,7 @@
         look()
 
     def _clear_faults(self) -> None:
-        super()._mend()
+        super()._clear_faults()
         self.faults.clear()
 
 
