--- a/gypsumspoke/core/home.py
+++ b/gypsumspoke/core/home.py
@@ -1,10 +1,9 @@
-"""The home: sole authority for the submissions of its partitions.
+"""The home reducer: the sole authority for the submissions of its partitions.
 
-It decides for each copy whether the submission is new, running, answered or refused,
-so that any number of copies through any entries make one job. What may be said about
-a key depends on what this home can know: keys born before it took over need an attempt
-number that no predecessor handed out, and where records were lost they are answered
-"unknown". See docs/DESIGN.md for the cases.
+For each request it decides whether the submission is new, running, answered or refused,
+so that any number of resubmissions through any entries run as one job. Keys born before
+this home took over need an attempt number that no earlier home issued; where records
+were lost they are answered "unknown". See docs/DESIGN.md for the cases.
 """
 
 from datetime import datetime, timedelta
@@ -65,12 +64,12 @@
 
 
 def new_home(member: Member, partition_count: int, seed: int) -> HomeState:
-    """Return the state of a home that owns nothing yet.
+    """Return the state of a home that owns no partition yet.
 
     Args:
       member: this process.
       partition_count: number of partitions, the same in every process.
-      seed: for the choice of executors.
+      seed: for the random choice of executors.
     """
     return HomeState(member, partition_count, seed)
 
@@ -84,7 +83,7 @@
       now: the current time.
 
     Returns:
-      What the shell must do, in order.
+      The effects for the shell to perform, in order.
     """
     effects = _on(event, state, now)
     effects += _handle_notices(state, now)
@@ -94,7 +93,10 @@
 
 
 def is_departed(state: HomeState, now: datetime) -> bool:
-    """Return whether a draining home owns nothing, or can't hand over any more."""
+    """Return whether a draining home may stop.
+
+    It owns no partition, or it has no jobs left and handing over took too long.
+    """
     if state.draining_since is None:
         return False
     if not state.takeover.owned:
@@ -103,7 +105,10 @@
 
 
 def set_clock_is_off(state: HomeState, is_off: bool) -> None:
-    """Stop or resume taking keys: births can't be judged with a wrong clock."""
+    """Set whether the clock is wrong; submissions are refused while it is.
+
+    The birth of a submission can't be checked against a wrong clock.
+    """
     state.clock_is_off = is_off
 
 
@@ -278,7 +283,7 @@
     ]
     effects = takeover.set_members(state.takeover, event.members, now)
     _update_placement(state)
-    # A takeover may have ended with this event; what it learned must be told too.
+    # This event may complete a takeover, whose records must be sent on as well.
     effects += _handle_notices(state, now)
     for incarnation in lost:
         effects += inquiries.handle_executor_ended(state, incarnation, now)
--- a/gypsumspoke/core/home_state.py
+++ b/gypsumspoke/core/home_state.py
@@ -1,9 +1,8 @@
-"""The state of one home, shared by the modules that decide for it.
+"""The state of one home, shared by the modules of its reducer.
 
-``home`` takes submissions in, ``dispatch`` places tasks, ``endings`` refuses and ends
-jobs, ``adoption`` takes partitions over and hands them on, ``inquiries`` asks what
-became of tries at executors that ended. They are one reducer in five modules; this one
-holds what all of them touch.
+``home`` routes events, ``intake`` handles requests, ``dispatch`` places tasks,
+``endings`` refuses and ends jobs, ``adoption`` takes partitions over and hands them on,
+``inquiries`` finds out the outcomes of attempts at executors that ended.
 """
 
 from collections.abc import Iterator
@@ -32,7 +31,7 @@
 
 
 class ParkedRequest(NamedTuple):
-    """A request that waits until its partition is served."""
+    """A request held until its partition is served."""
 
     sender: str
     message: Request
@@ -40,7 +39,7 @@
 
 
 class Refusal(NamedTuple):
-    """A "not run" that is decided and not yet confirmed."""
+    """A "not run" answer held back until the home's epoch is confirmed."""
 
     waiter: Waiter
     key: JobKey
@@ -48,13 +47,14 @@
 
 
 class Confirmation:
-    """A question to an executor whether the home's epoch is current.
+    """A request to an executor to confirm that the home's epoch is current.
 
     Attributes:
-      executor: whom it went to last.
-      asked: executors that were asked.
-      refusals: answers that wait for it.
-      jobs: ending jobs that wait for it.
+      partition, epoch: the ownership to confirm.
+      asked: executors it was sent to so far.
+      sent: when it was last sent; None before the first time.
+      refusals: refusals that wait for the confirmation.
+      jobs: ending jobs that wait for the confirmation.
     """
 
     def __init__(self, partition: int, epoch: int) -> None:
@@ -67,30 +67,34 @@
 
 
 class PlacedAttempt(NamedTuple):
-    """Where a try that is in flight belongs."""
+    """The job and task index of an attempt in flight."""
 
     job: Job
     task: int
 
 
 class RecordTransfer(NamedTuple):
-    """Records of a lost executor that are being given to another one."""
+    """Records of a lost executor on their way to another executor."""
 
     lost: str
     sent: datetime
 
 
 class Inquiry:
-    """One question to all executors: who speaks for an ended one, in one partition?
+    """A request to all executors for the records of an ended one, in one partition.
 
     Args:
-      lost: incarnation of the executor that ended.
-      partition: where it may have started tasks.
-      epoch: under which the partition is served here.
-      asked: incarnations whose answers are awaited.
-      transfers_records: whether the ended executor's records known here are sent to
+      lost: incarnation of the ended executor.
+      partition: partition whose tasks it may have started.
+      epoch: epoch under which the partition is served here.
+      asked: incarnations that have not answered yet.
+      transfers_records: whether this home's records of the ended executor are sent to
         another executor afterwards.
       now: the current time.
+
+    Attributes:
+      parts: incomplete answers, by incarnation.
+      heard: the parts of all complete answers.
     """
 
     def __init__(
@@ -113,12 +117,25 @@
 
 
 class HomeState:
-    """All that one home knows.
+    """The state of one home.
 
     Args:
       member: this process.
       partition_count: number of partitions.
-      seed: for the choice of executors.
+      seed: for the random choice of executors.
+
+    Attributes:
+      jobs: jobs without a final answer, by partition and key.
+      adopted: jobs accepted by a former home and not resubmitted yet.
+      parked: requests for partitions that are owned but not served yet.
+      retry_tokens: the retry budget left.
+      in_flight: attempts without an outcome, by executor.
+      silent_since: since when executors with attempts in flight can't be reached.
+      deadlines: heap of (deadline, partition, key).
+      unsent_confirmations: confirmations still collecting, by partition.
+      confirmations: (number, confirmation) that was sent, by partition.
+      inquiries: open inquiries by partition and ended executor.
+      record_transfers: unacknowledged transfers by partition and source.
     """
 
     def __init__(self, member: Member, partition_count: int, seed: int) -> None:
@@ -153,7 +170,7 @@
 
     @property
     def incarnation(self) -> str:
-        """Own incarnation."""
+        """Incarnation of this process."""
         return self.member.incarnation
 
     def job(self, partition: int, key: JobKey) -> Job | None:
@@ -161,7 +178,7 @@
         return self.jobs.get(partition, {}).get(key)
 
     def all_jobs(self) -> Iterator[Job]:
-        """Return all jobs that have no final answer yet."""
+        """Iterate over all jobs that have no final answer yet."""
         for jobs in list(self.jobs.values()):
             yield from list(jobs.values())
 
@@ -186,21 +203,24 @@
 def answer_of(
     kind: ErrorKind, retry_after: timedelta | None = None, detail: str = ""
 ) -> Answer:
-    """Return an answer of a kind whose claim the table of kinds fixes.
+    """Return an answer of a kind whose claim is fixed in ``ANSWER_RULES``.
 
     Args:
       kind: the reason.
-      retry_after: when to come back, if known better than in the table.
+      retry_after: when to retry; None for the default of the kind.
       detail: one sentence for a person.
+
+    Raises:
+      ValueError: the claim of the kind is not fixed.
     """
     rule = ANSWER_RULES[kind]
     if rule.work is None:
-        raise ValueError(f"{kind} makes no fixed claim")
+        raise ValueError(f"{kind} has no fixed claim in ANSWER_RULES")
     if retry_after is None:
         retry_after = rule.retry_after
     return Answer(kind, rule.work, retry_after=retry_after, detail=detail)
 
 
 def reply(waiter: Waiter, key: JobKey, answer: Answer) -> Effect:
-    """Return the effect that answers one copy."""
+    """Return the effect that answers one request."""
     return Send(waiter.entry, JobAnswer(waiter.request, key, answer))
--- a/gypsumspoke/core/intake.py
+++ b/gypsumspoke/core/intake.py
@@ -1,8 +1,8 @@
-"""What a home decides about each copy, question and cancellation that comes in.
+"""Handles submissions, queries and cancellations at a home.
 
-A copy meets what is known of its key: a kept answer, a running job, a job that a former
-home had accepted, a refusal. Only a key of which nothing is known can start a job, and
-only if its birth and attempt number rule out that it ran or was refused before.
+A submission is matched with what is known of its key: a kept answer, a running job, a
+job accepted by a former home, or a refusal. An unknown key starts a job only if its
+birth and attempt number rule out that it ran or was refused before.
 """
 
 import heapq
@@ -32,11 +32,11 @@
 def submit(
     state: HomeState, message: SubmitJob, sender: str, now: datetime
 ) -> list[Effect]:
-    """Decide about one copy of a submission.
+    """Handle a submission or resubmission.
 
     Args:
       state: changed in place.
-      message: the copy.
+      message: the request.
       sender: the entry that sent it.
       now: the current time.
     """
@@ -63,7 +63,7 @@
 def _validation_error(
     state: HomeState, ownership: Ownership, submission: Submission, now: datetime
 ) -> ErrorKind | None:
-    """Return why a copy can't be judged here, or None."""
+    """Return why a submission can't be accepted or matched here, or None."""
     policy = state.policy
     if state.clock_is_off:
         return ErrorKind.CLOCK_OFF
@@ -71,7 +71,7 @@
         return ErrorKind.BIRTH_IN_FUTURE
     forgotten_before = adoption.forgotten_before(state, ownership)
     if submission.birth < max(now - policy.retention, forgotten_before):
-        # Its record may be gone, so a start now could be the second one.
+        # Its record may have expired, so its tasks could start a second time.
         return ErrorKind.KEY_EXPIRED
     if submission.attempt >= ownership.floor.ceiling:
         return ErrorKind.ATTEMPT_NOT_ISSUED
@@ -85,7 +85,7 @@
     waiter: Waiter,
     now: datetime,
 ) -> list[Effect] | None:
-    """Answer a copy of a known submission; None if the key may run."""
+    """Answer a submission whose key is known; return None if the key may run."""
     partition, key = ownership.partition, submission.key
     finished = state.ledger.finished(partition, key)
     job = state.job(partition, key)
@@ -110,7 +110,7 @@
 def _attach_to_running(
     state: HomeState, job: Job, submission: Submission, waiter: Waiter
 ) -> list[Effect]:
-    """Let a copy wait for the running job; its later deadline counts."""
+    """Attach a resubmission to the running job, which takes the later deadline."""
     if waiter not in job.waiters:
         job.waiters.append(waiter)
     attempt = max(job.submission.attempt, submission.attempt)
@@ -148,7 +148,7 @@
     waiter: Waiter,
     now: datetime,
 ) -> list[Effect]:
-    """Decide about a key of which this home has no start and no answer."""
+    """Accept or refuse a key that this home has neither started nor answered."""
     if _is_drain_stuck(state, now):
         kind = ErrorKind.NOT_OWNER
         return [Count(kind), reply(waiter, submission.key, answer_of(kind))]
@@ -183,16 +183,16 @@
 
 
 def _is_drain_stuck(state: HomeState, now: datetime) -> bool:
-    """Return whether a leaving home can't hand over, as while the table is down.
+    """Return whether a draining home still can't hand over, as while the table is down.
 
-    It would never finish its jobs if it went on taking new ones.
+    It then takes no new jobs, so that those it has can end.
     """
     since = state.draining_since
     return since is not None and now - since >= DRAIN_ACCEPT_TIMEOUT
 
 
 class CapacityRefusal(NamedTuple):
-    """Why a new job is not accepted now, and when to come back."""
+    """Why the home has no capacity for a new job, and when to retry."""
 
     kind: ErrorKind
     retry_after: timedelta | None
@@ -211,18 +211,18 @@
     if ahead > state.policy.home_queue_limit:
         return CapacityRefusal(ErrorKind.QUEUE_FULL, wait)
     run = expected_run(state.placement, submission.service)
-    # With nothing queued the job is tried whatever the estimate says: an estimate from
-    # a time of slow upstreams would else refuse all jobs and never be corrected.
+    # An empty queue accepts the job whatever the estimate says: otherwise an estimate
+    # from slow upstreams would refuse every job and never be corrected.
     if state.queued and now + wait + run > submission.deadline:
         return CapacityRefusal(ErrorKind.DEADLINE_UNREACHABLE, wait)
     return None
 
 
 def _tasks_ahead(state: HomeState, submission: Submission) -> int:
-    """Return how many tasks fair queueing serves before the job's last one.
+    """Return how many tasks fair queueing serves up to the job's last one.
 
-    While a team's own queue drains, each other team gets its share and no more, so a
-    team within its share does not wait behind one that floods the queue.
+    Other teams count only up to their share, so a team within its share isn't refused
+    because another one floods the queue.
     """
     team = submission.key.team
     weight = state.team_weights.get(team, dispatch.DEFAULT_WEIGHT)
@@ -236,7 +236,7 @@
 
 
 def _park(state: HomeState, sender: str, message, now: datetime) -> list[Effect]:
-    """Let a request wait for a takeover that is under way, not for long."""
+    """Hold a request for at most ``PARK_TIMEOUT`` while a takeover is in progress."""
     partition = message.partition
     if partition not in state.takeover.owned:
         return _refuse_request(message, sender, ErrorKind.NOT_OWNER)
@@ -257,7 +257,7 @@
 
 
 def expire_parked(state: HomeState, now: datetime) -> list[Effect]:
-    """Give up on requests whose partition is not served soon, at once and for now."""
+    """Refuse parked requests whose partition was not served within the timeout."""
     effects: list[Effect] = []
     for partition, parked in list(state.parked.items()):
         late = [one for one in parked if now - one.since >= PARK_TIMEOUT]
@@ -273,14 +273,14 @@
 def query(
     state: HomeState, message: QueryJob, sender: str, now: datetime
 ) -> list[Effect]:
-    """Say what became of a key."""
+    """Answer what is known of a key."""
     return _answer_or_park(state, message, sender, now)
 
 
 def cancel(
     state: HomeState, message: CancelJob, sender: str, now: datetime
 ) -> list[Effect]:
-    """Start nothing more of a job, and end it."""
+    """Cancel a job: no further task starts, and the job ends."""
     job = state.job(message.partition, message.key)
     if job is None or state.serving(message.partition) is None:
         return _answer_or_park(state, message, sender, now)
@@ -299,7 +299,7 @@
 
 
 def _known_answer(state: HomeState, ownership: Ownership, key: JobKey) -> Answer:
-    """Return what is known of a key, without any claim that needs confirming."""
+    """Return what is known of a key, claiming nothing that needs confirmation."""
     partition = ownership.partition
     finished = state.ledger.finished(partition, key)
     if finished is not None:
