--- a/gypsumspoke/core/dispatch.py
+++ b/gypsumspoke/core/dispatch.py
@@ -1,9 +1,9 @@
-"""Placing tasks on executors and following them to their end.
+"""Places tasks on executors and tracks them until their outcome.
 
-A task may be tried elsewhere only after its executor said "not run". Silence is not
-that: the home asks the same executor again over a new connection, and a worker that is
-gone or stays silent makes the task unknown. Tasks wait here, not at the executors,
-until one is likely to have a free slot, so that a late better choice stays possible.
+A task is placed again only after its executor reported "not run". An executor that
+doesn't answer is queried again over a new connection; if it ended or stays silent, the
+outcome is unknown. Tasks queue at the home until an executor is expected to have a free
+slot, so that the choice is made as late as possible.
 """
 
 import heapq
@@ -41,7 +41,7 @@
 
 
 def enqueue(state: HomeState, job: Job) -> None:
-    """Queue all waiting tasks of a job and its deadline."""
+    """Queue all waiting tasks of a job and register its deadline."""
     submission = job.submission
     for number, slot in enumerate(job.slots):
         if slot.state is SlotState.WAITING:
@@ -77,7 +77,7 @@
 
 
 def place_waiting(state: HomeState, now: datetime) -> list[Effect]:
-    """Place waiting tasks while executors have room."""
+    """Place queued tasks while executors have free slots."""
     effects: list[Effect] = []
     for service, queue in state.queues.items():
         while (item := peek(queue)) is not None:
@@ -108,11 +108,11 @@
 ) -> str | None:
     target = choose_executor(state.placement, service, slot.excluded, now)
     if target is None and slot.excluded:
-        # All others are full: the ones that refused may have room by now.
+        # All others are full; those that refused may have a free slot by now.
         slot.excluded = frozenset()
     member = state.takeover.member(target) if target is not None else None
     if member is None or member.worker == state.member.worker:
-        # On the own worker one death would take home and start record together.
+        # Losing its own worker would lose the ledger and the start record together.
         return None
     return target
 
@@ -123,8 +123,8 @@
     slot = job.slots[number]
     submission = job.submission
     epoch = state.takeover.owned[job.partition].epoch
-    # One count for all placements of this home: a try's identity never comes twice,
-    # also when the caller resubmits the key after a refusal.
+    # One counter for all placements of this home keeps attempt ids unique, also when
+    # the caller resubmits the key after a refusal.
     state.placement_number += 1
     slot.attempt = AttemptId(submission.key, number, state.placement_number, epoch)
     slot.state = SlotState.PLACED
@@ -154,7 +154,7 @@
 
 
 def track_adopted(state: HomeState, job: Job, number: int, now: datetime) -> Effect:
-    """Follow a task that a former owner placed; its executor is asked."""
+    """Track a task that a former owner placed, and query its executor."""
     slot = job.slots[number]
     slot.placed_at = slot.asked_at = now
     state.in_flight.setdefault(slot.executor, {})[slot.attempt] = PlacedAttempt(
@@ -172,7 +172,7 @@
 def handle_task_outcome(
     state: HomeState, message: TaskOutcome, sender: str, now: datetime
 ) -> list[Effect]:
-    """Apply the end of one try."""
+    """Apply the outcome of an attempt."""
     placed = state.in_flight.get(sender, {}).pop(message.attempt, None)
     if placed is None:
         update_load(state.placement, sender, message.load, now)
@@ -214,7 +214,7 @@
 def _task_failed_or_unknown(
     state: HomeState, job: Job, slot: TaskSlot, message: TaskOutcome, now: datetime
 ) -> list[Effect]:
-    """End the job of a task that failed or is unknown; it is never tried again."""
+    """End the job of a task that failed or is unknown; such a task isn't retried."""
     failed = message.outcome is Outcome.FAILED
     slot.state = SlotState.FAILED if failed else SlotState.UNKNOWN
     if job.is_ending:
@@ -230,7 +230,7 @@
     slot = job.slots[number]
     job.wasted[_parse_reason(reason).value] += 2
     if not job.resumable:
-        # Records of other tries of this task may be lost, so it may have run there.
+        # Records of other attempts may be lost, and one of them may have run.
         slot.state = SlotState.UNKNOWN
     else:
         slot.state = SlotState.WAITING
@@ -249,7 +249,7 @@
 
 
 def _parse_reason(reason: str) -> RetryReason:
-    """Return the reason; a peer of another release may name one unknown here."""
+    """Return the reason, or OTHER for one that only another release defines."""
     try:
         return RetryReason(reason)
     except ValueError:
@@ -265,7 +265,7 @@
 def handle_task_running(
     state: HomeState, message: TaskRunning, sender: str, now: datetime
 ) -> list[Effect]:
-    """Note that a task is alive at its executor."""
+    """Record that a task is still running at its executor."""
     update_load(state.placement, sender, message.load, now)
     placed = state.in_flight.get(sender, {}).get(message.attempt)
     if placed is None:
@@ -284,7 +284,7 @@
 
 
 def query_attempts(state: HomeState, executor: str, now: datetime) -> list[Effect]:
-    """Ask about all tries at an executor whose connection was replaced."""
+    """Query all attempts at an executor whose connection was replaced."""
     effects: list[Effect] = []
     for attempt, placed in state.in_flight.get(executor, {}).items():
         placed.job.slots[placed.task].asked_at = now
@@ -295,9 +295,9 @@
 
 
 def check_silent_executors(state: HomeState, now: datetime) -> list[Effect]:
-    """Ask after long silence, and give up on executors that stay unreachable.
+    """Query overdue attempts, and fail those at executors that stay unreachable.
 
-    The tries at those that have ended are asked for elsewhere (``inquiries``).
+    ``inquiries`` handles the attempts at executors that have ended.
     """
     if state.last_scan is not None and now - state.last_scan < SCAN_INTERVAL:
         return []
@@ -323,13 +323,13 @@
 def fail_attempts(
     state: HomeState, executor: str, now: datetime, partition: int | None = None
 ) -> list[Effect]:
-    """Count every try at a lost executor as unknown and end its job.
+    """Record every attempt at a lost executor as unknown and end its job.
 
     Args:
       state: changed in place.
-      executor: where the tries are.
+      executor: incarnation of the executor.
       now: the current time.
-      partition: whose tries; None for those of all.
+      partition: partition of the attempts; None for all partitions.
     """
     effects: list[Effect] = []
     for attempt, placed in list(state.in_flight.get(executor, {}).items()):
@@ -370,14 +370,14 @@
 
 
 def stop_tracking(state: HomeState, job: Job, now: datetime) -> None:
-    """Stop counting the tries of a job that another home follows from now on.
+    """Stop tracking the attempts of a job that another home owns now.
 
-    Their outcomes go there. Counted here for ever they would fill the executors' slots
-    in this home's eyes; what really runs comes back with the executors' load.
+    Their outcomes are sent there, so here they would occupy the executors' slots for
+    ever. Those that still run are part of the load that executors report.
     """
     for slot in job.slots:
-        tries = state.in_flight.get(slot.executor, {})
-        if tries.pop(slot.attempt, None) is not None:
+        attempts = state.in_flight.get(slot.executor, {})
+        if attempts.pop(slot.attempt, None) is not None:
             _record_gone(state, slot.executor, now)
 
 
@@ -387,7 +387,7 @@
 
 
 def expire_deadlines(state: HomeState, now: datetime) -> list[Effect]:
-    """End jobs whose caller has stopped waiting."""
+    """End jobs whose deadline has passed."""
     effects: list[Effect] = []
     while state.deadlines and state.deadlines[0][0] <= now:
         _, partition, key = heapq.heappop(state.deadlines)
