--- a/gypsumspoke/core/ejection.py
+++ b/gypsumspoke/core/ejection.py
@@ -1,8 +1,8 @@
-"""Taking out workers that fail what they start, and trying them again rarely.
+"""Ejects workers that fail tasks, and reinstates them after successful probes.
 
-A worker that fails every task at once is always free, so it would draw the tasks of
-all homes. Each failed task costs a job, so a worker that fails far more than the others
-gets nothing but a probe from time to time, until probes succeed.
+A worker that fails every task at once is always free, so it would attract the tasks of
+all homes, and each failed task fails its job. A worker that fails far more than the
+others gets only single probe tasks at growing intervals, until they succeed.
 """
 
 import heapq
@@ -35,7 +35,7 @@
 
 
 def indicates_worker_health(outcome: Outcome, reason: str) -> bool:
-    """Tell whether an outcome speaks of the worker rather than of load or callers."""
+    """Return whether an outcome depends on the worker, not on load or callers."""
     if outcome is Outcome.NOT_RUN:
         return reason in _BROKEN_UPSTREAM
     return True
@@ -44,7 +44,7 @@
 def update_health(
     state: PlacementState, executor: ExecutorView, failed: bool, now: float
 ) -> None:
-    """Update failure rates; eject or reinstate."""
+    """Update failure rates, and eject or reinstate the executor."""
     pool = service_pool(state, executor.member.service)
     executor.failure_rate = smooth(
         executor.failure_rate, float(failed), _FAILURE_SMOOTHING
@@ -62,10 +62,10 @@
 def _is_outlier(
     state: PlacementState, executor: ExecutorView, pool: ServicePool
 ) -> bool:
-    """Tell whether a worker fails far more than the rest.
+    """Return whether a worker fails far more than the others.
 
-    When all fail alike it is the jobs, and ejecting would only shrink the system; the
-    bound on the ejected share holds for the same reason.
+    When all workers fail alike the jobs are the cause, and ejecting workers would only
+    reduce capacity. The bound on the ejected share has the same purpose.
     """
     if not state.strategy.ejects:
         return False
@@ -91,7 +91,7 @@
 def _handle_probe_result(
     state: PlacementState, executor: ExecutorView, failed: bool, now: float
 ) -> None:
-    """Space probes out while they fail; reinstate after a few good ones."""
+    """Lengthen the interval while probes fail; reinstate after a few successes."""
     pool = service_pool(state, executor.member.service)
     if failed:
         executor.probe_interval = min(
@@ -107,7 +107,7 @@
 
 
 def schedule_probe(state: PlacementState, executor: ExecutorView, now: float) -> None:
-    """Allow one task there after the pause; an earlier allowance lapses."""
+    """Schedule the next probe after the interval, replacing an earlier one."""
     executor.probe_at = now + executor.probe_interval
     pool = service_pool(state, executor.member.service)
     heapq.heappush(pool.probes, (executor.probe_at, executor.member.incarnation))
@@ -116,7 +116,7 @@
 def due_probe(
     state: PlacementState, pool: ServicePool, exclude: frozenset[str], now: float
 ) -> str | None:
-    """Return an ejected executor whose turn for one probing task has come."""
+    """Return an ejected executor whose probe is due, or None."""
     while pool.probes and pool.probes[0][0] <= now:
         due, incarnation = pool.probes[0]
         executor = state.executors.get(incarnation)
--- a/gypsumspoke/core/placement.py
+++ b/gypsumspoke/core/placement.py
@@ -1,12 +1,11 @@
-"""On which executor a task goes, decided by a home alone.
+"""Chooses the executor for each task.
 
-A home learns what it needs from answers and heartbeats that are sent anyway, so a
-placement costs no message beyond the one that carries the task. It draws a few
-executors at random and takes the one where the task is expected to end first. Drawing
-few keeps homes that share the same stale view from all choosing the same executor.
+A home knows the load of executors from answers and heartbeats, so a placement needs no
+extra message. It samples a few executors at random and takes the one with the earliest
+expected end of the task. A small sample keeps homes with the same stale view from all
+choosing the same executor.
 
-Baselines that the measuring command compares with are strategies of the same form,
-chosen by name in the manifest, so that all run through the same code.
+The manifest names the strategy; the others are baselines for ``tools.measure``.
 """
 
 from collections.abc import Iterable
@@ -45,15 +44,14 @@
     """Return a state without executors.
 
     Args:
-      seed: for the random draws.
-      strategy: how to place until ``set_policy`` names another; the default one if
-        None.
+      seed: for random choices.
+      strategy: strategy until ``set_policy`` names another; None for the default.
     """
     return PlacementState(seed, strategy or STRATEGIES[DEFAULT_STRATEGY])
 
 
 def set_policy(state: PlacementState, policy: Policy) -> None:
-    """Take over what the manifest says; an unknown strategy leaves the present one.
+    """Apply the manifest's policy; an unknown strategy name keeps the present one.
 
     Args:
       state: changed in place.
@@ -71,10 +69,10 @@
     reachable: frozenset[str],
     own_worker: str,
 ) -> None:
-    """Take over the membership view.
+    """Update the executors from the membership view.
 
-    Ended members, entries and this home's own worker are left out: a home that placed
-    on its own worker would lose ledger and start record in one death.
+    Ended members, entries and this home's own worker are left out: losing its own
+    worker would lose the ledger and the start record together.
 
     Args:
       state: changed in place.
@@ -102,23 +100,23 @@
 
 
 def is_service_registered(state: PlacementState, service: str) -> bool:
-    """Tell whether any registered worker, reachable or not, offers the service."""
+    """Return whether a registered worker, reachable or not, offers the service."""
     return service in state.services and bool(state.services[service].registered)
 
 
 def choose_executor(
     state: PlacementState, service: str, exclude: frozenset[str], now: datetime
 ) -> str | None:
-    """Return the executor for one task; call ``note_placed`` if it is used.
+    """Return the executor for one task; call ``record_placement`` if it is used.
 
     Args:
-      state: its random source advances.
+      state: its random generator advances.
       service: upstream service of the task.
       exclude: incarnations that refused this task before.
-      now: the time.
+      now: the current time.
 
     Returns:
-      An incarnation, or None when no executor has room by what is known here.
+      An incarnation, or None when no executor is known to have a free slot.
     """
     pool = state.services.get(service)
     if pool is None:
@@ -134,7 +132,7 @@
 
 
 def record_placement(state: PlacementState, incarnation: str, now: datetime) -> None:
-    """Count a task as sent to an executor."""
+    """Record that a task was sent to an executor."""
     executor = state.executors.get(incarnation)
     if executor is None:
         return
@@ -156,16 +154,16 @@
     run_time: timedelta | None,
     now: datetime,
 ) -> bool:
-    """Learn from the end of one placed task.
+    """Update an executor's statistics from the outcome of one placed task.
 
     Args:
       state: changed in place.
-      incarnation: where it was placed.
-      outcome: what became of it.
+      incarnation: the executor.
+      outcome: outcome of the task.
       reason: as in ``TaskOutcome``.
-      load: the executor's load; None when nothing was heard.
+      load: load reported with the outcome; None without a report.
       run_time: time at the upstream; None unless it ran.
-      now: the time.
+      now: the current time.
 
     Returns:
       True if this outcome made the home eject the worker.
@@ -191,7 +189,7 @@
 def update_load(
     state: PlacementState, incarnation: str, load: Load, now: datetime
 ) -> None:
-    """Learn from a load that came without an outcome, as on a heartbeat."""
+    """Update an executor's load from a report without an outcome, as a heartbeat."""
     executor = state.executors.get(incarnation)
     if executor is None:
         return
@@ -200,11 +198,11 @@
 
 
 def expected_run(state: PlacementState, service: str) -> timedelta:
-    """Return the mean run time of the service's tasks as observed.
+    """Return the observed mean run time of the service's tasks.
 
-    Without a task in flight it is the assumed one. A home refuses jobs by this value:
-    after a time of slow runs it would refuse all, run none, and so never learn that
-    runs are fast again. This way an idle home tries one job and learns from it.
+    Without a task in flight it is a default. A home refuses jobs by this value: after a
+    period of slow runs it would otherwise refuse every job and never observe that runs
+    are fast again.
     """
     pool = state.services.get(service)
     if pool is None or not pool.in_flight:
@@ -215,17 +213,16 @@
 def expected_wait(state: PlacementState, service: str, queued: int) -> timedelta:
     """Return how long a task behind ``queued`` others waits at this home.
 
-    The other homes' tasks are taken to go on using the share of slots that they use
-    now.
+    Other homes are assumed to keep the share of slots that they use now.
 
     Args:
       state: not changed.
       service: upstream service.
-      queued: tasks that wait at this home in front.
+      queued: number of tasks ahead at this home.
 
     Returns:
-      The time; that of a whole run per task when no executor is in sight; zero
-      without a task in flight, for the reason given at ``expected_run``.
+      The expected wait: one run per queued task if no executor is usable, zero without
+      a task in flight (see ``expected_run``).
     """
     pool = state.services.get(service)
     if pool is not None and not pool.in_flight:
@@ -242,7 +239,7 @@
 
 
 def ejected_executors(state: PlacementState) -> frozenset[str]:
-    """Return the incarnations that are taken out for failing."""
+    """Return the incarnations that are ejected for failing tasks."""
     return frozenset(
         incarnation
         for incarnation, executor in state.executors.items()
@@ -253,7 +250,7 @@
 def _sample_candidates(
     state: PlacementState, pool: ServicePool, exclude: frozenset[str]
 ) -> list[str]:
-    """Return the executors that the strategy wants compared."""
+    """Return the executors among which the strategy chooses."""
     items = pool.free.items
     wanted = state.strategy.choices
     if state.strategy.rank is Rank.TURN:
@@ -278,7 +275,7 @@
 
 
 def _ranking(state: PlacementState, pool: ServicePool, now: float):
-    """Return the key function by which the least of the drawn ones is chosen."""
+    """Return the sort key of candidates; the lowest is chosen."""
     if state.strategy.rank is Rank.EXPECTED_END:
         return lambda item: (
             _expected_end(state.executors[item], pool, now),
@@ -293,15 +290,15 @@
 
 
 def _expected_end(executor: ExecutorView, pool: ServicePool, now: float) -> float:
-    """Return seconds until a task placed now would end there.
+    """Return the expected seconds until a task placed now would end there.
 
-    While a slot is free that is one run; else the tasks there drain first, at
-    ``slots`` per mean run.
+    With a free slot that is one mean run; otherwise the executor's tasks end first, at
+    a rate of ``slots`` per mean run.
     """
     run = _mean_run(executor, pool)
     if executor.in_flight:
-        # A worker that hangs sends no run times, so by these alone it would look as
-        # fast as ever. The time since it last finished anything is a lower bound.
+        # A hung worker reports no run times, so its mean stays as good as before. The
+        # time since its last progress is a lower bound of the current runs.
         run = max(run, (now - executor.last_progress))
     return run * max(1.0, (executor.total + 1) / max(1, executor.slots))
 
@@ -309,12 +306,12 @@
 def _is_acceptable(
     state: PlacementState, pool: ServicePool, best: str, now: float
 ) -> bool:
-    """Tell whether a task should go there rather than wait for a better executor.
+    """Return whether a task should go there rather than wait for a better executor.
 
-    Without this a straggler, always free because it is avoided, takes the overflow
-    whenever the others are full, and whole jobs wait for it. The reference is drawn
-    from the full ones too. It can't hold a task for ever: a full executor that stops
-    answering looks worse with each second, and one without tasks of this home is free.
+    Otherwise a slow executor, free because it is avoided, would get tasks whenever the
+    others are full, and delay whole jobs. The reference is sampled from full executors
+    too. The wait is bounded: the expected end at a full executor that stops answering
+    grows with time, and one without tasks of this home counts as free.
     """
     patience = state.strategy.patience
     usable = pool.usable.items
@@ -322,8 +319,8 @@
         return True
     drawn = state.random.sample(usable, min(_REFERENCE_SAMPLES, len(usable)))
     reference = min(_expected_end(state.executors[item], pool, now) for item in drawn)
-    # The more messages weigh, the longer a task waits at the home: a task sent early
-    # to a poor place is the one that is refused there or cancelled after its start.
+    # A higher message weight keeps tasks at the home for longer: a task sent early to a
+    # slow executor is more likely to be refused or cancelled, which costs messages.
     patience -= state.message_weight * (patience - 1) / 2
     return _expected_end(state.executors[best], pool, now) <= patience * reference
 
@@ -337,16 +334,16 @@
 
 
 def _update_mean_run(state: PlacementState, executor: ExecutorView, run: float) -> None:
-    """Smooth run times of finished tasks; failed ones would make it look fast."""
+    """Update the mean run times; only finished tasks count, failed ones end early."""
     pool = service_pool(state, executor.member.service)
     executor.mean_run = smooth(executor.mean_run, run, SMOOTHING)
     pool.mean_run = smooth(pool.mean_run, run, SMOOTHING)
 
 
 def _apply_load(executor: ExecutorView, load: Load) -> None:
-    """Take what other homes have there from a report.
+    """Update slots, other homes' tasks and the mean run time from a load report.
 
-    The executor's own mean covers all homes' tasks and so replaces this home's.
+    The executor's mean covers the tasks of all homes, so it replaces this home's.
     """
     executor.slots = load.slots
     executor.other_homes_tasks = max(0, load.running + load.queued - executor.in_flight)
--- a/gypsumspoke/core/placement_state.py
+++ b/gypsumspoke/core/placement_state.py
@@ -1,8 +1,8 @@
-"""What a home knows of executors: the strategy, and the sets kept for quick choices.
+"""State of placement: strategies, and what a home knows of executors.
 
-``placement`` chooses, ``ejection`` takes out workers that fail. Sets of free executors
-are kept up to date by each event, which makes a choice independent of the number of
-workers unless a strategy asks to see them all.
+``placement`` chooses executors, ``ejection`` ejects workers that fail tasks. The sets
+of usable and free executors are updated with each event, so the cost of a choice
+doesn't grow with the number of workers unless the strategy compares all of them.
 """
 
 import random
@@ -19,7 +19,7 @@
 
 
 class Rank(Enum):
-    """How the drawn executors are compared."""
+    """How candidates are ranked: at random, in turn, by in-flight tasks or by end."""
 
     FIRST = "first"
     TURN = "turn"
@@ -28,17 +28,17 @@
 
 
 class Strategy(NamedTuple):
-    """A way to place, as data.
+    """A placement strategy.
 
     Attributes:
-      rank: how the drawn executors are compared.
-      choices: how many are drawn; ``ALL`` for every free one.
-      queue_share: tasks allowed to wait at an executor, as a share of its slots, by
-        what the home knows; None for no bound at the home.
-      ejects: whether workers that fail most tasks are taken out.
-      patience: how many times longer than on the best of another draw, full ones
-        included, a task may take; past that it waits at the home. None for no such
-        bound.
+      rank: how candidates are ranked.
+      choices: how many candidates are sampled; ``ALL`` for every free executor.
+      queue_share: maximum number of tasks queued at an executor, as a share of its
+        slots; None for no bound at the home.
+      ejects: whether workers that fail most tasks are ejected.
+      patience: maximum ratio of the expected end of a task to that on the best of
+        another sample, full executors included; above it the task waits at the home.
+        None for no such bound.
     """
 
     rank: Rank
@@ -60,7 +60,16 @@
 
 
 class ExecutorView:
-    """What the home knows of one executor. Times are seconds of ``seconds_of``."""
+    """What the home knows of one executor; times are seconds of ``seconds_of``.
+
+    Attributes:
+      in_flight: tasks that this home placed there.
+      other_homes_tasks: tasks of other homes, by the last load report.
+      mean_run: smoothed run time in seconds; None before the first.
+      last_progress: when the last task ended, or the first of those in flight was sent.
+      probe_at: when an ejected executor may get its next probe.
+      probe_interval: seconds between probes.
+    """
 
     def __init__(self, member: Member) -> None:
         self.member = member
@@ -77,12 +86,12 @@
 
     @property
     def total(self) -> int:
-        """Tasks there by the last report and this home's own count."""
+        """Tasks of all homes there."""
         return self.in_flight + self.other_homes_tasks
 
 
 class IndexedSet:
-    """A set of incarnations with random draws, additions and removals in O(1)."""
+    """A set of incarnations with indexed access, additions and removals in O(1)."""
 
     def __init__(self) -> None:
         self._items: list[str] = []
@@ -90,17 +99,17 @@
 
     @property
     def items(self) -> list[str]:
-        """All members; not to be changed by the caller."""
+        """All items; the caller must not change the list."""
         return self._items
 
     def add(self, item: str) -> None:
-        """Add ``item`` unless it is in."""
+        """Add ``item`` unless it is present."""
         if item not in self._positions:
             self._positions[item] = len(self._items)
             self._items.append(item)
 
     def remove(self, item: str) -> None:
-        """Remove ``item`` if it is in; the last one takes its place."""
+        """Remove ``item`` if present; the last item moves to its position."""
         position = self._positions.pop(item, None)
         if position is None:
             return
@@ -126,7 +135,7 @@
 
 
 class PlacementState:
-    """All that one home knows about executors; built by ``placement.new_placement``."""
+    """Executors and services known to a home; see ``placement.new_placement``."""
 
     def __init__(self, seed: int, strategy: Strategy) -> None:
         self.random = random.Random(seed)
@@ -137,7 +146,7 @@
 
 
 def update_pools(state: PlacementState, executor: ExecutorView) -> None:
-    """Put the executor into the sets it belongs to and take it out of the others."""
+    """Update whether the executor is in the sets of usable and free ones."""
     pool = service_pool(state, executor.member.service)
     incarnation = executor.member.incarnation
     _set_membership(pool.usable, incarnation, _is_usable(executor))
@@ -158,20 +167,20 @@
 
 
 def _has_room(state: PlacementState, executor: ExecutorView) -> bool:
-    """Tell whether the home may place there now.
+    """Return whether the home may place a task there now.
 
-    An executor where this home has nothing is always free: only answers bring news,
-    and one report of a full executor could otherwise keep the home away for good. The
-    executor's own queue limit still holds.
+    An executor without tasks of this home is always free: load is reported with
+    answers, so after one report of a full executor the home might never use it again.
+    The executor's own queue limit still applies.
     """
     return executor.in_flight == 0 or executor.total < _max_tasks(state, executor)
 
 
 def _max_tasks(state: PlacementState, executor: ExecutorView) -> float:
-    """Return the most tasks there by what the home knows.
+    """Return the maximum number of tasks at an executor.
 
-    The more messages weigh, the fewer may wait there: each waiting task risks a
-    refusal by a full queue, and that is two messages for nothing.
+    A higher message weight allows fewer queued tasks: each may be refused by a full
+    queue, which wastes two messages.
     """
     share = state.strategy.queue_share
     if share is None:
@@ -184,7 +193,7 @@
 
 
 def remove_executor(state: PlacementState, incarnation: str) -> None:
-    """Drop an executor that is no longer registered."""
+    """Remove an executor that is no longer registered."""
     executor = state.executors.pop(incarnation)
     pool = service_pool(state, executor.member.service)
     pool.in_flight -= executor.in_flight
