--- a/gypsumspoke/core/endings.py
+++ b/gypsumspoke/core/endings.py
@@ -1,11 +1,10 @@
-"""Refusals and ends of jobs, and the confirmation that each "not run" needs.
-
-A home that was paused does not know that it was replaced. If it refused a copy with
-"not run" then, the caller would be told so although the new home ran the job. So a
-refusal is decided first and said only after another executor has confirmed the epoch:
-had the new home served by then, that executor would have been fenced. One
-confirmation covers every refusal of its partition that was decided before it was sent,
-so under overload it costs little. When none comes, the answer claims nothing.
+"""Refuses and ends jobs, and confirms the epoch before each "not run" answer.
+
+A home that was paused may have been replaced without knowing it, and its "not run"
+would then be wrong for a job that the new home runs. So a refusal is answered only
+after an executor has confirmed the epoch: a new home that serves the partition has
+fenced all executors. One confirmation covers all refusals of its partition that were
+decided before it was sent. Without a confirmation the answer claims nothing.
 """
 
 import logging
@@ -61,16 +60,16 @@
     retry_after: timedelta | None = None,
     detail: str = "",
 ) -> list[Effect]:
-    """Decide that this attempt does not run; it is said once confirmed.
+    """Refuse this attempt; the answer is sent once the epoch is confirmed.
 
     Args:
       state: changed in place.
       ownership: the partition, served here.
-      waiter: the copy.
-      submission: what it submits; no task of it has started.
+      waiter: the request to answer.
+      submission: the submission; no task of it has started.
       kind: a kind that claims "not run".
       now: the current time.
-      retry_after: when to come back, if known better than in the table.
+      retry_after: when to retry; None for the default of the kind.
       detail: one sentence for a person.
     """
     key = submission.key
@@ -97,9 +96,9 @@
 def refuse_below_floor(
     state: HomeState, ownership: Ownership, waiter: Waiter, submission: Submission
 ) -> list[Effect]:
-    """Refuse a key that a former owner may have refused, or an earlier generation.
+    """Refuse a key that was possibly refused by a former owner or under an older floor.
 
-    No record is needed: the floor itself refuses all attempts below its own.
+    No record is needed: the floor refuses all attempts below its own.
     """
     kind = ErrorKind.BORN_BEFORE_TAKEOVER
     answer = Answer(
@@ -114,7 +113,7 @@
 def _raise_floor_if_full(
     state: HomeState, ownership: Ownership, refused: int, now: datetime
 ) -> None:
-    """Let the floor stand for the refusals when their table is full."""
+    """Replace the refusal records by a higher floor when their table is full."""
     full = state.ledger.refused_count(ownership.partition) >= MAX_REFUSALS
     if not full and not needs_new_generation(refused, ownership.floor):
         return
@@ -144,7 +143,7 @@
 
 
 def send_confirmations(state: HomeState, now: datetime) -> list[Effect]:
-    """Send what gathered, one question at a time for each partition."""
+    """Send collected confirmations, one at a time for each partition."""
     effects: list[Effect] = []
     for partition in list(state.unsent_confirmations):
         if partition not in state.confirmations:
@@ -156,7 +155,7 @@
 def _send_to_next(
     state: HomeState, confirmation: Confirmation, now: datetime
 ) -> list[Effect]:
-    """Ask an executor that was not asked yet, or give up."""
+    """Send to an executor that was not asked yet, or resolve as unconfirmed."""
     partition = confirmation.partition
     others = [
         name
@@ -191,7 +190,7 @@
 def handle_close_ack(
     state: HomeState, message: CloseAck, now: datetime
 ) -> list[Effect]:
-    """Say what waited for this confirmation."""
+    """Send the answers that waited for this confirmation."""
     number, confirmation = state.confirmations.get(message.partition, (0, None))
     if confirmation is None or number != message.confirmation:
         return []
@@ -225,10 +224,10 @@
 def begin_ending(
     state: HomeState, job: Job, kind: ErrorKind, now: datetime, detail: str = ""
 ) -> list[Effect]:
-    """Give a job up: nothing more of it starts, and its answer follows at once.
+    """Stop a job: no further task starts, and its answer follows.
 
-    The wait is for one confirmation and for executors' answers to the cancellations,
-    a round trip; ``ENDING_LIMIT`` bounds it when they don't come.
+    The answer waits for one confirmation and, at most ``ENDING_TIMEOUT``, for the
+    executors' answers to the cancellations.
     """
     if job.is_ending or job.dropped:
         return []
@@ -246,7 +245,7 @@
 
 
 def finish_if_settled(state: HomeState, job: Job, now: datetime) -> list[Effect]:
-    """End a job whose last open task was heard of."""
+    """Finish an ending job unless it waits for a confirmation or a placed task."""
     return _finish_if_due(state, job, now, waited=False)
 
 
@@ -259,7 +258,7 @@
 
 
 def _finish(state: HomeState, job: Job, now: datetime) -> list[Effect]:
-    """Give the final answer of a job that was given up on."""
+    """Record and send the final answer of an ending job."""
     answer = failed_answer(job, job.confirmed)
     submission = job.submission
     state.remove_job(job)
@@ -291,10 +290,10 @@
 
 
 def complete_job(state: HomeState, job: Job, now: datetime) -> list[Effect]:
-    """Give the answer of a job whose tasks are all done.
+    """Record and send the answer of a job whose tasks are all done.
 
-    Results that fit no frame would leave the caller without any answer until its
-    deadline, and then with "unknown". It is told that the work ran instead.
+    Results too large for a frame are replaced by an answer that the work ran; otherwise
+    the caller would get no answer until its deadline, and then "unknown".
     """
     if job.is_too_large:
         return _complete_too_large(state, job, now)
@@ -313,8 +312,8 @@
 
 
 def _complete_too_large(state: HomeState, job: Job, now: datetime) -> list[Effect]:
-    """Answer that the job ran and its results can't be handed over."""
-    detail = f"the results total {job.result_bytes} bytes, over {MAX_ANSWER_BYTES}"
+    """Answer that the job ran, without its results."""
+    detail = f"the results total {job.result_bytes} bytes, maximum {MAX_ANSWER_BYTES}"
     answer = Answer(
         ErrorKind.RESULT_LOST, Work.RAN, outcomes=outcomes(job), detail=detail
     )
@@ -361,7 +360,7 @@
 
 
 def tick(state: HomeState, now: datetime) -> list[Effect]:
-    """Ask another executor, or end without confirmation, when time is up."""
+    """Resend overdue confirmations, and finish ending jobs whose timeout passed."""
     effects: list[Effect] = []
     for _, confirmation in list(state.confirmations.values()):
         if confirmation.sent is None or now - confirmation.sent >= CONFIRMATION_TIMEOUT:
--- a/gypsumspoke/core/jobs.py
+++ b/gypsumspoke/core/jobs.py
@@ -1,8 +1,8 @@
-"""A job that a home runs: its tasks, who waits for it, and what its end claims.
+"""Jobs that a home runs: their tasks, waiting requests and final answers.
 
-An answer must not claim more than is known. A task that was never placed, or that an
-executor refused, has not run; one that was sent out and not heard of is unknown. The
-claim about the whole job follows from its tasks here, in one place.
+An answer claims no more than is known. A task that was never placed, or that an
+executor refused, has not run; a placed task without an outcome is unknown. The claim
+about the whole job follows from its tasks.
 """
 
 from collections import Counter
@@ -13,20 +13,20 @@
 from gypsumspoke.core.errors import ANSWER_RULES, ErrorKind, Work
 from gypsumspoke.core.values import Answer, AttemptId, Outcome, Submission
 
-# A whole answer goes to the entry in one frame, bounded by ``wire`` at 4 MiB. The rest
-# is for the lengths of up to 130 results and the fields around them.
+# An answer is sent to the entry in one frame, which ``wire`` bounds at 4 MiB; the rest
+# is for the lengths of the results and the other fields.
 MAX_ANSWER_BYTES = 3 * 1024 * 1024
 
 
 class Waiter(NamedTuple):
-    """One copy of a submission that waits for the answer."""
+    """A request that waits for the answer of a job."""
 
     entry: str
     request: str
 
 
 class SlotState(Enum):
-    """How far a task is, as its home knows."""
+    """Progress of a task as known to its home."""
 
     WAITING = "waiting"
     PLACED = "placed"
@@ -36,7 +36,18 @@
 
 
 class TaskSlot:
-    """One task of a running job."""
+    """One task of a running job.
+
+    Attributes:
+      attempt: the last attempt; None before the first placement.
+      executor: where the last attempt was placed.
+      placed_at: when it was placed.
+      asked_at: when its executor last reported it or was queried about it.
+      placements: number of placements so far.
+      excluded: executors that refused the task.
+      is_running: whether the executor reported that it runs.
+      result: body of the result; None unless done and kept.
+    """
 
     def __init__(self) -> None:
         self.state = SlotState.WAITING
@@ -54,7 +65,7 @@
     """A submission that has no final answer yet.
 
     Args:
-      submission: the copy that is run.
+      submission: the submission, with the highest attempt and latest deadline so far.
       partition: its partition.
       accepted_at: when it was accepted.
     """
@@ -81,7 +92,7 @@
 
     @property
     def is_ending(self) -> bool:
-        """Whether it was given up on and only waits for confirmations."""
+        """Whether it was stopped and waits for confirmations only."""
         return self.ending is not None
 
     @property
@@ -95,11 +106,9 @@
         return self.result_bytes > MAX_ANSWER_BYTES
 
     def set_done(self, slot: TaskSlot, result: bytes) -> None:
-        """Note that a task is done; its result is kept while all fit one answer.
+        """Record that a task is done; its result is kept while all fit one answer.
 
-        Without the bound one job could hold 130 results of the largest size, of which
-        no caller gets any. A result that is not kept is None, never empty: an empty
-        one is an answer too.
+        A result that is not kept is None: an empty one is a valid result.
         """
         slot.state = SlotState.DONE
         self.unfinished -= 1
@@ -108,7 +117,7 @@
 
     @property
     def has_open_slots(self) -> bool:
-        """Whether a placed task has not been heard of yet."""
+        """Whether the executor of a placed task has not answered yet."""
         return any(
             slot.state is SlotState.PLACED and not slot.is_running
             for slot in self.slots
@@ -136,12 +145,12 @@
 
 
 def outcomes(job: Job) -> tuple[Outcome, ...]:
-    """Return what is known of each task."""
+    """Return the known outcome of each task."""
     return tuple(_OUTCOME_OF_SLOT[slot.state] for slot in job.slots)
 
 
 def work_of(known: tuple[Outcome, ...]) -> Work:
-    """Return what may be claimed of a job from what is known of its tasks."""
+    """Return what may be claimed of a job with these task outcomes."""
     if Outcome.UNKNOWN in known:
         return Work.UNKNOWN
     if Outcome.NOT_RUN not in known:
@@ -152,12 +161,12 @@
 
 
 def failed_answer(job: Job, confirmed: bool) -> Answer:
-    """Return the final answer of a job that was given up on.
+    """Return the final answer of an ending job.
 
     Args:
       job: the job; ``ending`` is set.
       confirmed: whether an executor confirmed the home's epoch after the end was
-        decided. Without that another home may be running the rest.
+        decided; otherwise another home may be running the other tasks.
 
     Returns:
       An answer with the outcome of each task; "not run" only when confirmed.
--- a/gypsumspoke/core/ledger.py
+++ b/gypsumspoke/core/ledger.py
@@ -1,11 +1,10 @@
-"""What one home remembers of submissions, and how attempt numbers are given out.
+"""A home's ledger of answers and refusals, and how attempt numbers are issued.
 
-A "not run" must stay true for copies that are still under way, so each refusal is
-remembered until its key expires. Under overload refusals are many; when their table is
-full, one number replaces it: the *floor*. Unknown keys born before the floor run only
-with an attempt number that no earlier refusal handed out, which the generation in
-the number guarantees. A takeover uses the same rule, since a new home doesn't know what
-its predecessor refused.
+A "not run" must stay true for requests that are still in flight, so each refusal is
+kept until its key expires. When the table of refusals is full, the *floor* replaces it:
+unknown keys born before the floor run only with an attempt number that no earlier
+refusal issued, which the generation in the number guarantees. A takeover uses the same
+rule, since a new home doesn't know what the former one refused.
 
 An attempt number is ``epoch << 32 | generation << 12 | count``. It stays below
 2**53, which JSON readers keep exact, for the first two million epochs.
@@ -37,14 +36,15 @@
 
 
 class Floor(NamedTuple):
-    """Which unknown keys of a partition may run at once.
+    """Bounds below which unknown keys of a partition don't run at once.
 
     Attributes:
       epoch: epoch of the ownership.
       generation: grows by one each time the floor is raised.
-      born_before: unknown keys born before need an attempt number from
+      born_before: unknown keys born before this need an attempt number of at least
         ``first_attempt(epoch, generation)``.
-      lossy_before: unknown keys born before may have run, and never run; None if none.
+      lossy_before: records of keys born before this were lost, so unknown ones may have
+        run and never run again; None if no records were lost.
     """
 
     epoch: int
@@ -54,12 +54,12 @@
 
     @property
     def attempt(self) -> int:
-        """The lowest attempt number that runs although born before the floor."""
+        """The lowest attempt number that runs with a birth before the floor."""
         return first_attempt(self.epoch, self.generation)
 
     @property
     def ceiling(self) -> int:
-        """The first attempt number that this ownership can't have given out."""
+        """The lowest attempt number that this ownership can't have issued."""
         return first_attempt(self.epoch + 1, 0)
 
     def raised(self, born_before: datetime) -> "Floor":
@@ -71,10 +71,10 @@
 
 
 class Ledger:
-    """Kept answers and refusals of one home, by partition and key.
+    """Answers and refusals that one home keeps, by partition and key.
 
     Args:
-      kept_bytes: most bytes of results that are kept.
+      kept_bytes: maximum size of the kept results.
     """
 
     def __init__(self, kept_bytes: int) -> None:
@@ -99,11 +99,11 @@
 
     @property
     def kept_bytes(self) -> int:
-        """Bytes of results held."""
+        """Size of the kept results in bytes."""
         return self._result_bytes
 
     def set_kept_bytes(self, limit: int) -> None:
-        """Change the bound on the bytes of results."""
+        """Set the maximum size of the kept results in bytes."""
         self._kept_bytes = limit
         self._drop_results()
 
@@ -116,7 +116,7 @@
         return self._refused.get(partition, {}).get(key)
 
     def refused_count(self, partition: int) -> int:
-        """Return how many refusals of a partition are remembered."""
+        """Return how many refusals of a partition are kept."""
         return len(self._refused.get(partition, {}))
 
     def keep_finished(self, partition: int, record: FinishedRecord) -> None:
@@ -136,15 +136,15 @@
         known[record.key] = record
 
     def forget_refused(self, partition: int, key: JobKey) -> None:
-        """Drop a refusal whose key runs now under a higher attempt."""
+        """Drop a refusal whose key now runs under a higher attempt."""
         self._refused.get(partition, {}).pop(key, None)
 
     def clear_refused(self, partition: int) -> None:
-        """Drop the refusals of a partition after its floor was raised over them."""
+        """Drop the refusals of a partition, which a higher floor replaces."""
         self._refused.pop(partition, None)
 
     def drop(self, partition: int) -> None:
-        """Forget a partition that another home owns now."""
+        """Drop all records of a partition that another home owns now."""
         finished = self._finished.pop(partition, {})
         self._finished_count -= len(finished)
         for key in finished:
@@ -156,11 +156,11 @@
         return list(self._finished.get(partition, {}).values())
 
     def all_refused(self, partition: int) -> list[RefusedRecord]:
-        """Return the remembered refusals of a partition."""
+        """Return the kept refusals of a partition."""
         return list(self._refused.get(partition, {}).values())
 
     def expire(self, born_before: datetime) -> None:
-        """Drop everything about submissions born before a time."""
+        """Drop all records of submissions born before a time."""
         self._forgotten_before = max(self._forgotten_before, born_before)
         while self._expiry and self._expiry[0][0] < born_before:
             _, partition, key = heapq.heappop(self._expiry)
@@ -182,7 +182,7 @@
             self._drop_results()
 
     def _drop_results(self) -> None:
-        """Keep memory bounded: the oldest results go, that the job ran stays known."""
+        """Drop the oldest results above the bound; their jobs stay known as run."""
         while self._result_bytes > self._kept_bytes:
             (partition, key), size = self._results.popitem(last=False)
             self._result_bytes -= size
@@ -192,7 +192,7 @@
 
 
 def next_attempt(refused: int, floor: Floor) -> int:
-    """Return the attempt number with which a refused submission may come back.
+    """Return the attempt number with which a refused submission may be resubmitted.
 
     Args:
       refused: the attempt number that was refused.
@@ -205,9 +205,9 @@
 
 
 def needs_new_generation(refused: int, floor: Floor) -> bool:
-    """Return whether the next number would run into the next generation's numbers.
+    """Return whether the next number would belong to the next generation.
 
-    Then a later generation's floor would not be above all numbers refused before it.
+    A later floor would then not be above all attempt numbers issued before it.
     """
     return next_attempt(refused, floor) >= first_attempt(
         floor.epoch, floor.generation + 1
@@ -215,7 +215,7 @@
 
 
 def floor_birth(now: datetime, skew: timedelta) -> datetime:
-    """Return the birth below which a copy may have reached another home by ``now``.
+    """Return a bound on the births that another home can have accepted by ``now``.
 
     A home accepts births up to its own clock plus ``skew``, and its clock may be ahead
     of this one by ``skew``.
