--- a/gypsumspoke/core/fair_queue.py
+++ b/gypsumspoke/core/fair_queue.py
@@ -1,10 +1,9 @@
-"""Which waiting task goes next: weighted fair queueing between teams.
+"""Weighted fair queueing of waiting tasks between teams.
 
 Start-time fair queueing (Goyal, Vin and Cheng, 1996): each item gets a start tag, the
 later of the queue's virtual time and its team's last finish tag, and the item with the
-lowest start tag goes first. A team that sends ten times its share only pushes its own
-tags ahead. Unlike plain fair queueing it needs no service rate, which here changes
-with every worker that comes or goes.
+lowest start tag is served first. A team above its share only delays its own items. The
+algorithm needs no service rate, which here changes with each worker.
 """
 
 import heapq
@@ -25,7 +24,7 @@
 
 
 class FairQueue:
-    """Waiting items of all teams; see ``push`` and ``pop``."""
+    """Queue of the items of all teams; see ``push`` and ``pop``."""
 
     def __init__(self) -> None:
         self._heap: list[_Entry] = []
@@ -46,11 +45,11 @@
     """Add an item behind its team's earlier ones; O(log n).
 
     Args:
-      queue: where to.
-      team: whose share pays for it.
-      weight: the team's share; values below a tiny positive one count as that.
+      queue: changed in place.
+      team: team charged for the item.
+      weight: the team's share; raised to a small positive minimum.
       cost: expected time of the item at a slot, in seconds.
-      item: anything.
+      item: the value to return from ``pop``.
     """
     start = max(queue._virtual_time, queue._finish_tags.get(team, 0.0))
     share = max(weight, _MIN_WEIGHT)
@@ -60,9 +59,9 @@
 
 
 def requeue(queue: FairQueue, team: str, item: Any) -> None:
-    """Put an item back that was refused after its turn; O(log n).
+    """Put a popped item back at the front; O(log n).
 
-    It has paid and waited already, so it goes next and its team is not charged again.
+    Its team was charged for it by ``push`` and is not charged again.
     """
     start = queue._virtual_time
     heapq.heappush(queue._heap, _Entry(start, -queue._pushed, team, item))
@@ -89,11 +88,11 @@
     """Remove all items for which ``predicate`` holds; O(n).
 
     Args:
-      queue: where from.
+      queue: changed in place.
       predicate: called once with each item.
 
     Returns:
-      The removed items, in order of their tags. A team is not paid back for them.
+      The removed items, in order of their tags. Their teams stay charged for them.
     """
     removed = []
     kept = []
@@ -113,10 +112,10 @@
 
 
 def _reset_tags(queue: FairQueue) -> None:
-    """Start anew when nothing waits.
+    """Reset virtual time and tags of an empty queue.
 
-    Without this, tags of teams that left would stay for ever, and a team whose burst
-    has been served would still stand behind the others.
+    Otherwise the tags of removed teams would stay for ever, and a team whose burst has
+    been served would still be placed behind the others.
     """
     queue._finish_tags.clear()
     queue._virtual_time = 0.0
--- a/gypsumspoke/core/quota.py
+++ b/gypsumspoke/core/quota.py
@@ -1,22 +1,22 @@
 """Team quotas, enforced at each entry without a message per task.
 
-Each entry holds a token bucket per team, counted in tasks. Its rate is the entry's
-share of the team's quota. Once per ``REPORT_INTERVAL`` the entries tell one another
-what each team offered them; every entry computes all shares from the same reports by
+Each entry has a token bucket per team, counted in tasks, whose rate is the entry's
+share of the team's quota. Once per ``REPORT_INTERVAL`` the entries send one another
+the load that each team offered; every entry computes its share from these reports by
 max-min fairness (water-filling), so that the shares add up to the quota.
 
-A lower share is used at once, a higher one only when it has held for a whole interval:
-by then the others have heard what changed and lowered theirs. An entry that is not
-heard for ``SILENT_AFTER`` counts as wanting everything, which reserves at least an
-equal part for it; entries cut off from one another fall back to equal parts.
+A lower share applies at once, a higher one after a whole interval, when the others
+have received the reports and lowered theirs. An entry without a report for
+``REPORT_TIMEOUT`` counts as having unlimited demand, which reserves at least an equal
+part for it; entries cut off from one another fall back to equal parts.
 
 Error bound. Let Q be the quota, b the burst and n the number of entries. In any window
 of w seconds all entries together admit at most ``Q * w + b + n * MAX_TASKS`` tasks if
 reports arrive within an interval: a bucket that is full enough for a part of a job
 admits the whole job and goes into debt, hence the last term. Each time entries lose
-one another, up to ``Q * SILENT_AFTER`` seconds' worth may be added, until they notice.
-Below the quota nobody is refused while the offered load stays steady for two
-intervals; an entry whose load jumps waits that long for a larger share.
+one another, up to ``Q * REPORT_TIMEOUT`` may be added before they detect it. Below the
+quota nothing is refused while the offered load is steady for two intervals; an entry
+whose load jumps waits that long for a larger share.
 """
 
 from collections import deque
@@ -36,14 +36,14 @@
 
 
 class _Target(NamedTuple):
-    """A share as computed at some time, in tasks per second."""
+    """A share in tasks per second, and when it was computed."""
 
     at: datetime
     rate: float
 
 
 class _Report(NamedTuple):
-    """The last report of another entry: what each team offered it per second."""
+    """The last report of another entry: tasks per second offered by each team."""
 
     sequence: int
     at: datetime
@@ -51,7 +51,7 @@
 
 
 class _Bucket:
-    """One team at this entry."""
+    """The token bucket of one team at this entry."""
 
     def __init__(self, policy: TeamPolicy, rate: float, now: datetime) -> None:
         self.policy = policy
@@ -65,19 +65,19 @@
 
     @property
     def capacity(self) -> float:
-        """Most tokens this entry's part of the burst allows."""
+        """Maximum number of tokens: this entry's share of the burst."""
         if self.policy.tasks_per_second <= 0:
             return 0.0
         return self.policy.burst * self.rate / self.policy.tasks_per_second
 
     def refill(self, now: datetime) -> None:
-        """Add the tokens that have come up since the last time."""
+        """Add the tokens accrued since the last refill."""
         passed = max((now - self.refilled_at).total_seconds(), 0.0)
         self.refilled_at = now
         self.tokens = min(self.tokens + passed * self.rate, self.capacity)
 
     def set_target(self, rate: float, now: datetime) -> None:
-        """Use the lowest share computed within the last interval."""
+        """Add a computed share, and use the lowest one of the last interval."""
         self.refill(now)
         self.targets.append(_Target(now, rate))
         while len(self.targets) > 1 and self.targets[1].at <= now - REPORT_INTERVAL:
@@ -101,24 +101,24 @@
 
 
 def new_quota(incarnation: str) -> QuotaState:
-    """Return the quota state of an entry that knows no team yet.
+    """Return the quota state of an entry without teams.
 
     Args:
-      incarnation: the entry's own incarnation.
+      incarnation: incarnation of this entry.
     """
     return QuotaState(incarnation)
 
 
 def set_teams(state: QuotaState, teams: Iterable[TeamPolicy], now: datetime) -> None:
-    """Take the teams of a new manifest; tokens of unchanged teams are kept."""
+    """Apply the teams of a new manifest; unchanged teams keep their tokens."""
     state._policies = {team.name: team for team in teams}
     for name in list(state._buckets):
         policy = state._policies.get(name)
         if policy is None:
             del state._buckets[name]
         elif policy != state._buckets[name].policy:
-            # A new quota holds at once: keeping the lowest share of the last interval
-            # would delay a raise, and an old target above a lowered quota is void.
+            # A new quota applies at once: older shares would delay a raise, and those
+            # above a lowered quota are no longer valid.
             bucket = state._buckets[name]
             bucket.refill(now)
             bucket.policy = policy
@@ -127,7 +127,7 @@
 
 
 def set_entries(state: QuotaState, entries: Iterable[str], now: datetime) -> None:
-    """Take the incarnations of all live entries, our own included or not."""
+    """Set the incarnations of all live entries, with or without this one."""
     state._others = frozenset(entries) - {state._incarnation}
     for gone in set(state._reports) - state._others:
         del state._reports[gone]
@@ -135,13 +135,13 @@
 
 
 def admit(state: QuotaState, team: str, tasks: int, now: datetime) -> timedelta | None:
-    """Admit a job or say when to come back.
+    """Admit a job or return when to retry.
 
     Args:
       state: changed in place.
       team: a team of the manifest.
       tasks: number of tasks of the job.
-      now: time of arrival.
+      now: the current time.
 
     Returns:
       None when admitted, else the time until the bucket has enough tokens.
@@ -165,9 +165,9 @@
 
 
 def due_report(state: QuotaState, now: datetime) -> TeamUsage | None:
-    """Return the report to send to all other entries, when one is due.
+    """Return the report to send to all other entries, or None if none is due.
 
-    Only teams with load are listed, so that the size follows the active teams.
+    It lists only teams with load.
     """
     if state._next_report is not None and now < state._next_report:
         return None
@@ -188,7 +188,7 @@
 
 
 def handle_report(state: QuotaState, report: TeamUsage, now: datetime) -> None:
-    """Take the report of another entry; one that came out of order is dropped."""
+    """Record the report of another entry; an outdated one is dropped."""
     known = state._reports.get(report.incarnation)
     if known is not None and report.sequence <= known.sequence:
         return
@@ -200,7 +200,7 @@
 
 
 def rate_of(state: QuotaState, team: str) -> float:
-    """Return this entry's share of a team's quota now, in tasks per second."""
+    """Return this entry's share of a team's quota, in tasks per second."""
     return state._buckets[team].rate
 
 
@@ -228,7 +228,7 @@
 
 
 def _share(state: QuotaState, team: str, now: datetime) -> float:
-    """Return our part of a team's quota by max-min fairness over all entries."""
+    """Return this entry's share of a team's quota by max-min fairness."""
     quota = state._policies[team].tasks_per_second
     count = len(state._others) + 1
     smallest = _MIN_SHARE * quota / count
@@ -252,7 +252,7 @@
 
 
 def _water_level(demands: list[float], quota: float) -> float:
-    """Return the cap under which the demands add up to the quota."""
+    """Return the cap per entry at which the capped demands add up to the quota."""
     left = quota
     for position, demand in enumerate(sorted(demands)):
         equal_part = left / (len(demands) - position)
