--- a/gypsumspoke/core/admission.py
+++ b/gypsumspoke/core/admission.py
@@ -1,7 +1,7 @@
-"""Which submissions an entry turns away itself, unsent.
+"""Admission control of an entry: which submissions it refuses without forwarding.
 
-It can say nothing about other copies of the same key, so each refusal claims no more
-than that this copy was not passed on.
+The entry knows nothing of other requests with the same key, so a refusal claims only
+that this request was not passed on.
 """
 
 from datetime import datetime
@@ -19,7 +19,7 @@
 def submission_refusal(
     state: EntryState, submission: Submission, now: datetime
 ) -> Answer | None:
-    """Return why a submission is turned away, the cheapest checks first."""
+    """Return why a submission is refused, or None; the cheapest checks come first."""
     refusal = entry_refusal(state) or _request_refusal(state, submission, now)
     if refusal is not None:
         return refusal
@@ -31,7 +31,7 @@
 
 
 def entry_refusal(state: EntryState) -> Answer | None:
-    """Return why this entry takes nothing at all now."""
+    """Return why this entry refuses all requests now, or None."""
     if state.draining:
         return refusal_answer(ErrorKind.ENTRY_DRAINING)
     if state.manifest is None:
@@ -45,11 +45,10 @@
 def _request_refusal(
     state: EntryState, submission: Submission, now: datetime
 ) -> Answer | None:
-    """Return what is wrong with a submission as seen from here.
+    """Return what is wrong with a submission, or None.
 
-    The births are checked here and again at the home: a birth from the future would
-    outlive the retention, and after the retention nobody remembers whether the key
-    ran, so an expired key must not run.
+    The birth is checked here and again at the home: records of a birth in the future
+    would outlive the retention, and for an expired key no record shows whether it ran.
     """
     policy = state.policy
     if state.clock_off:
--- a/gypsumspoke/core/forwarding.py
+++ b/gypsumspoke/core/forwarding.py
@@ -1,7 +1,7 @@
-"""The way of one copy to the home of its key, and of the answer back.
+"""Forwards requests to the home of their key, and answers back to the callers.
 
-A copy goes again, unchanged, to whoever owns the partition next, until there is an
-answer or patience ends. What is said then claims only whether the copy was ever sent.
+A request is resent unchanged to the next owner of the partition until it is answered or
+times out. The answer after a timeout claims only whether the request was ever sent.
 """
 
 import logging
@@ -18,13 +18,13 @@
 
 RESEND_DELAY = timedelta(milliseconds=200)
 NOT_SERVED_TIMEOUT = timedelta(seconds=2)
-# Silence is noticed, the partition taken over and all executors fenced within this
-# time beyond ``takeover_after``; waiting longer for a home helps nobody.
+# Beyond ``takeover_after``: detecting a silent home, taking the partition over and
+# fencing all executors.
 MAX_TAKEOVER_TIME = timedelta(seconds=4)
-# The home answers at the deadline too, and knows what became of each task.
+# The home answers at the deadline too, with the outcome of each task.
 DEADLINE_GRACE = timedelta(milliseconds=300)
 
-# What a home answers while it does not own the partition, or not yet.
+# Answers of a home that does not serve the partition.
 _NOT_SERVED = {
     ErrorKind.NOT_OWNER: RetryReason.HOME_MOVED,
     ErrorKind.TAKEOVER_IN_PROGRESS: RetryReason.TAKEOVER_IN_PROGRESS,
@@ -32,73 +32,75 @@
 
 
 def _owner(state: EntryState, partition: int) -> str:
-    """Return the owner that can be reached now, or an empty string."""
+    """Return the partition's owner if it is reachable, else an empty string."""
     row = state.partitions.get(partition)
     if row is None or row.owner not in state.reachable:
         return ""
     return row.owner
 
 
-def forward(state: EntryState, waiting: PendingRequest, now: datetime) -> list[Effect]:
-    """Send the copy to the current owner, or hold it until there is one.
+def forward(state: EntryState, pending: PendingRequest, now: datetime) -> list[Effect]:
+    """Send the request to the current owner, or hold it until there is one.
 
-    A copy is sent only over a connection that is known to be up. So a copy that was
-    never sent certainly reached nobody, and may be answered "not passed on".
+    A request is sent only over a connection that is known to be up, so one that was
+    never sent reached no home and may be answered "not passed on".
     """
-    waiting.home = _owner(state, waiting.message.partition)
-    if not waiting.home:
-        waiting.without_home_since = waiting.without_home_since or now
-        waiting.resend_at = None
+    pending.home = _owner(state, pending.message.partition)
+    if not pending.home:
+        pending.without_home_since = pending.without_home_since or now
+        pending.resend_at = None
         return []
     effects: list[Effect] = []
-    if waiting.was_sent and waiting.reason is not None:
-        effects.append(Count(waiting.reason))
-    waiting.reason = None
-    waiting.was_sent = True
-    waiting.without_home_since = None
-    waiting.resend_at = None
-    effects.append(Send(waiting.home, waiting.message))
+    if pending.was_sent and pending.reason is not None:
+        effects.append(Count(pending.reason))
+    pending.reason = None
+    pending.was_sent = True
+    pending.without_home_since = None
+    pending.resend_at = None
+    effects.append(Send(pending.home, pending.message))
     return effects
 
 
 def handle_home_lost(
-    state: EntryState, waiting: PendingRequest, reason: RetryReason, now: datetime
+    state: EntryState, pending: PendingRequest, reason: RetryReason, now: datetime
 ) -> list[Effect]:
-    """The home can't answer any more; go on with whoever owns the partition now."""
-    waiting.reason = reason
-    waiting.not_served_since = None
-    return forward(state, waiting, now)
+    """Forward to the current owner, as the former home can't answer any more."""
+    pending.reason = reason
+    pending.not_served_since = None
+    return forward(state, pending, now)
 
 
 def forward_held(state: EntryState, now: datetime) -> list[Effect]:
-    """Send the copies that wait for a home that can be reached."""
+    """Forward the requests that wait for a reachable home."""
     effects: list[Effect] = []
-    for waiting in list(state.waiting.values()):
-        if not waiting.home:
-            effects += forward(state, waiting, now)
+    for pending in list(state.waiting.values()):
+        if not pending.home:
+            effects += forward(state, pending, now)
     return effects
 
 
 def handle_answer(
-    state: EntryState, waiting: PendingRequest, answer: Answer, now: datetime
+    state: EntryState, pending: PendingRequest, answer: Answer, now: datetime
 ) -> list[Effect]:
-    """Hand an answer of the home to the caller, or try again if it claims nothing."""
+    """Deliver the home's answer, or resend later if it doesn't serve the partition."""
     if answer.kind in _NOT_SERVED:
-        return _handle_not_served(state, waiting, answer, now)
-    return _deliver(state, waiting.message.request, answer, now)
+        return _handle_not_served(state, pending, answer, now)
+    return _deliver(state, pending.message.request, answer, now)
 
 
 def _handle_not_served(
-    state: EntryState, waiting: PendingRequest, answer: Answer, now: datetime
+    state: EntryState, pending: PendingRequest, answer: Answer, now: datetime
 ) -> list[Effect]:
-    """Try again soon: the home is not the owner, or not yet."""
-    waiting.last_refusal = answer
-    waiting.not_served_since = waiting.not_served_since or now
-    if now - waiting.not_served_since >= NOT_SERVED_TIMEOUT:
-        return fail_request(state, waiting.message.request, now, "the partition moves")
-    waiting.reason = _NOT_SERVED[answer.kind]
+    """Schedule a resend, or fail the request after ``NOT_SERVED_TIMEOUT``."""
+    pending.last_refusal = answer
+    pending.not_served_since = pending.not_served_since or now
+    if now - pending.not_served_since >= NOT_SERVED_TIMEOUT:
+        return fail_request(
+            state, pending.message.request, now, "the partition is changing owners"
+        )
+    pending.reason = _NOT_SERVED[answer.kind]
     spread = 0.5 + state.random.random()
-    waiting.resend_at = now + RESEND_DELAY * spread
+    pending.resend_at = now + RESEND_DELAY * spread
     if answer.kind is ErrorKind.NOT_OWNER:
         return [Local(ViewOutdated())]
     return []
@@ -107,15 +109,15 @@
 def _deliver(
     state: EntryState, request: str, answer: Answer, now: datetime
 ) -> list[Effect]:
-    waiting = state.waiting.pop(request)
-    state.waiting_bytes -= waiting.size
+    pending = state.waiting.pop(request)
+    state.waiting_bytes -= pending.size
     effects: list[Effect] = []
     if answer.kind is not None:
         effects.append(Count(answer.kind))
-    if isinstance(waiting.message, SubmitJob) and waiting.message.wait:
-        seconds = (now - waiting.arrived).total_seconds()
-        effects.append(Observe("response_seconds", seconds, waiting.key.team))
-    if not waiting.caller_left:
+    if isinstance(pending.message, SubmitJob) and pending.message.wait:
+        seconds = (now - pending.arrived).total_seconds()
+        effects.append(Observe("response_seconds", seconds, pending.key.team))
+    if not pending.caller_left:
         effects.append(Deliver(request, answer))
     return effects
 
@@ -123,38 +125,38 @@
 def fail_request(
     state: EntryState, request: str, now: datetime, detail: str
 ) -> list[Effect]:
-    """Answer for a home that doesn't; claim no more than whether the copy was sent."""
-    waiting = state.waiting[request]
-    answer = _failure_answer(waiting, detail)
+    """Answer without a home, claiming only whether the request was ever sent."""
+    pending = state.waiting[request]
+    answer = _failure_answer(pending, detail)
     log = Log(
         logging.WARNING,
         "request given up",
-        key=waiting.key,
+        key=pending.key,
         fields=(("request", request), ("kind", answer.kind.value), ("why", detail)),
     )
     return [log, *_deliver(state, request, answer, now)]
 
 
-def _failure_answer(waiting: PendingRequest, detail: str) -> Answer:
-    if not waiting.was_sent:
+def _failure_answer(pending: PendingRequest, detail: str) -> Answer:
+    if not pending.was_sent:
         return refusal_answer(ErrorKind.HOME_UNREACHABLE, detail)
-    last = waiting.last_refusal
+    last = pending.last_refusal
     if last is not None and last.kind is ErrorKind.TAKEOVER_IN_PROGRESS:
         return last._replace(work=Work.UNKNOWN)
     return refusal_answer(ErrorKind.HOME_SILENT, detail)
 
 
 def resend_or_expire(
-    state: EntryState, request: str, waiting: PendingRequest, now: datetime
+    state: EntryState, request: str, pending: PendingRequest, now: datetime
 ) -> list[Effect]:
-    """Send a copy again when that is due; end its wait when patience or time ends."""
-    grace = DEADLINE_GRACE if waiting.home else timedelta(0)
-    if now >= waiting.deadline + grace:
+    """Resend a request that is due; fail it after its deadline or without a home."""
+    grace = DEADLINE_GRACE if pending.home else timedelta(0)
+    if now >= pending.deadline + grace:
         return fail_request(state, request, now, "the deadline passed")
-    without_home = waiting.without_home_since
-    patience = state.policy.takeover_after + MAX_TAKEOVER_TIME
-    if without_home is not None and now - without_home >= patience:
+    without_home = pending.without_home_since
+    timeout = state.policy.takeover_after + MAX_TAKEOVER_TIME
+    if without_home is not None and now - without_home >= timeout:
         return fail_request(state, request, now, "no home could be reached")
-    if waiting.resend_at is not None and now >= waiting.resend_at:
-        return forward(state, waiting, now)
+    if pending.resend_at is not None and now >= pending.resend_at:
+        return forward(state, pending, now)
     return []
