--- a/gypsumspoke/core/inquiries.py
+++ b/gypsumspoke/core/inquiries.py
@@ -1,14 +1,13 @@
-"""What became of tries at an executor that has ended, asked of all the others.
+"""Finds out the outcomes of attempts at an executor that has ended.
 
-A start, or the outcome of one, may be lost with an executor that leaves, so its home
-would know no more than that it was sent. But the executor told all its records to
-another one before it ended, and nothing started there afterwards. So the home fences
-the executors again, under its own epoch. If one of them covers the ended one, all their
-records say how each try ended, and one without a record never started. If none does,
-the tries are unknown.
+A message about a start or an outcome may be lost with its executor. But an executor
+sends all its records to another one before it ends, and starts nothing afterwards. So
+the home fences all executors again under its own epoch. If an answer covers the ended
+executor, their records give the outcome of each attempt, and an attempt without a
+record never started. Otherwise the attempts are unknown.
 
-What the home knows of the ended executor is told on only then. Told before, its own
-doubt would come back to it as a record.
+The home sends its own records of the ended executor on only after that; otherwise they
+would come back in the answers, with the outcomes still unknown.
 """
 
 import logging
@@ -33,7 +32,7 @@
 
 
 def handle_executor_ended(state: HomeState, lost: str, now: datetime) -> list[Effect]:
-    """Ask for the tries at an executor that has just ended, and tell on the rest."""
+    """Start inquiries about an ended executor's attempts, or send its records on."""
     effects: list[Effect] = []
     for partition in sorted(_open_partitions(state, lost)):
         effects += _start_inquiry(state, partition, lost, True, now)
@@ -41,13 +40,13 @@
 
 
 def tick(state: HomeState, now: datetime) -> list[Effect]:
-    """Ask for tries that a former home left at ended executors; end what is late."""
+    """Resolve overdue inquiries, and start those about adopted attempts."""
     effects: list[Effect] = []
     for inquiry in list(state.inquiries.values()):
         if not _is_served(state, inquiry):
             effects += _close_inquiry(state, inquiry, now)
         elif now - inquiry.since >= state.policy.unreachable_after:
-            # As long as for a silent executor's own tries.
+            # The same timeout as for attempts at a silent executor.
             effects += _resolve(state, inquiry, now)
     for executor in filter(state.takeover.has_ended, list(state.in_flight)):
         _drop_closed_attempts(state, executor)
@@ -58,7 +57,7 @@
 
 
 def _drop_closed_attempts(state: HomeState, executor: str) -> None:
-    """Drop tries whose jobs have ended: no answer will come for them."""
+    """Drop attempts whose jobs have ended; they need no outcome."""
     for attempt, placed in list(state.in_flight[executor].items()):
         if not _is_open(attempt, placed):
             del state.in_flight[executor][attempt]
@@ -67,7 +66,7 @@
 def handle_fence_ack(
     state: HomeState, message: FenceAck, now: datetime
 ) -> list[Effect]:
-    """Apply one part of an executor's answer."""
+    """Handle one part of an executor's answer."""
     effects: list[Effect] = []
     for inquiry in list(state.inquiries.values()):
         name = message.incarnation
@@ -89,7 +88,7 @@
 
 
 def _open_partitions(state: HomeState, executor: str) -> set[int]:
-    """Return the served partitions with tries in flight at an executor."""
+    """Return the served partitions with open attempts at an executor."""
     return {
         placed.job.partition
         for attempt, placed in state.in_flight.get(executor, {}).items()
@@ -133,7 +132,7 @@
 
 
 def _is_conclusive(state: HomeState, inquiry: Inquiry) -> bool:
-    """Return whether no further answer could say more."""
+    """Return whether the answers so far give the outcome of every attempt."""
     if not _is_covered(inquiry):
         return False
     outcomes = _outcomes(state, inquiry)
@@ -141,12 +140,12 @@
 
 
 def _resolve(state: HomeState, inquiry: Inquiry, now: datetime) -> list[Effect]:
-    """Take what was told as the outcome of each try, or count them as unknown."""
+    """Apply the outcomes found, or record the attempts as unknown without cover."""
     partition, lost = inquiry.partition, inquiry.lost
     is_covered = _is_covered(inquiry)
     fields = (("executor", lost), ("partition", partition), ("covered", is_covered))
     effects: list[Effect] = [
-        Log(logging.INFO, "ended executor asked for", fields=fields)
+        Log(logging.INFO, "inquiry about ended executor resolved", fields=fields)
     ]
     if is_covered:
         for outcome in _outcomes(state, inquiry):
@@ -157,7 +156,7 @@
 
 
 def _close_inquiry(state: HomeState, inquiry: Inquiry, now: datetime) -> list[Effect]:
-    """Tell on what is known here once the last question about an executor ended."""
+    """Close an inquiry; after an executor's last one, send its records on."""
     del state.inquiries[inquiry.partition, inquiry.lost]
     others = [one for one in state.inquiries.values() if one.lost == inquiry.lost]
     if not inquiry.transfers_records:
@@ -171,12 +170,12 @@
 def _outcome(
     attempt: AttemptId, placed: PlacedAttempt, heard: list[FenceAck]
 ) -> TaskOutcome:
-    """Return what became of a try by the records of all that answered."""
+    """Return the outcome of an attempt by the records in all answers."""
     record = _best_record(attempt, heard)
     outcome, result = Outcome.UNKNOWN, b""
     reason = RetryReason.SILENT_EXECUTOR
     if record is None:
-        # A record may have been dropped for its age.
+        # A missing record proves nothing if it may have expired.
         if all(placed.job.submission.birth >= part.forgotten_before for part in heard):
             outcome, reason = Outcome.NOT_RUN, RetryReason.NEVER_SEEN
     elif record.attempt == attempt and record.state is TaskState.FAILED:
