--- a/gypsumspoke/core/policy.py
+++ b/gypsumspoke/core/policy.py
@@ -1,18 +1,18 @@
-"""What the operators' manifest says, checked."""
+"""The validated manifest of the operators."""
 
 from datetime import timedelta
 from typing import NamedTuple
 
 
 class ServicePolicy(NamedTuple):
-    """What the manifest says of one upstream service.
+    """Settings of one upstream service.
 
     Attributes:
       name: name of the service, as callers and members use it.
-      connections: most connections an executor keeps to its upstream.
+      connections: maximum number of connections from an executor to its upstream.
       connect_timeout: bound on opening a connection to the upstream.
       answer_timeout: bound on one task at the upstream; then it counts as UNKNOWN.
-      queue_limit: most tasks that wait at one executor.
+      queue_limit: maximum number of tasks queued at one executor.
     """
 
     name: str
@@ -23,7 +23,7 @@
 
 
 class TeamPolicy(NamedTuple):
-    """What the manifest says of one team.
+    """Settings of one team.
 
     Attributes:
       name: name of the team.
@@ -39,19 +39,19 @@
 
 
 class Policy(NamedTuple):
-    """What the manifest says of the whole system.
+    """Settings of the whole system.
 
     Attributes:
       retention: how long a key is remembered, from its birth.
-      clock_skew: most that two clocks may differ.
+      clock_skew: maximum difference between two clocks.
       retry_budget: placements beyond the first, as a share of first placements.
-      task_attempts: most placements of one task.
+      task_attempts: maximum number of placements of one task.
       message_weight: 0 prefers response time, 1 prefers few messages.
-      ledger_limit: most submissions that one home remembers.
-      kept_bytes: most bytes of results that one process keeps.
-      home_queue_limit: most tasks that wait at one home.
+      ledger_limit: maximum number of submissions that one home remembers.
+      kept_bytes: maximum size in bytes of the results that one process keeps.
+      home_queue_limit: maximum number of tasks queued at one home.
       unreachable_after: silence after which a started task counts as UNKNOWN.
-      takeover_after: silence after which another home takes the partitions.
+      takeover_after: silence after which another home takes the partitions over.
       placement: name of a strategy in ``placement.STRATEGIES``.
     """
 
@@ -69,7 +69,7 @@
 
 
 class Manifest(NamedTuple):
-    """The operators' configuration, checked."""
+    """The validated configuration of the operators."""
 
     services: tuple[ServicePolicy, ...]
     teams: tuple[TeamPolicy, ...]
