--- a/gypsumspoke/core/forwarding.py
+++ b/gypsumspoke/core/forwarding.py
@@ -39,68 +39,68 @@
     return row.owner
 
 
-def forward(state: EntryState, pending: PendingRequest, now: datetime) -> list[Effect]:
+def forward(state: EntryState, waiting: PendingRequest, now: datetime) -> list[Effect]:
     """Send the request to the current owner, or hold it until there is one.
 
     A request is sent only over a connection that is known to be up, so one that was
     never sent reached no home and may be answered "not passed on".
     """
-    pending.home = _owner(state, pending.message.partition)
-    if not pending.home:
-        pending.without_home_since = pending.without_home_since or now
-        pending.resend_at = None
+    waiting.home = _owner(state, waiting.message.partition)
+    if not waiting.home:
+        waiting.without_home_since = waiting.without_home_since or now
+        waiting.resend_at = None
         return []
     effects: list[Effect] = []
-    if pending.was_sent and pending.reason is not None:
-        effects.append(Count(pending.reason))
-    pending.reason = None
-    pending.was_sent = True
-    pending.without_home_since = None
-    pending.resend_at = None
-    effects.append(Send(pending.home, pending.message))
+    if waiting.was_sent and waiting.reason is not None:
+        effects.append(Count(waiting.reason))
+    waiting.reason = None
+    waiting.was_sent = True
+    waiting.without_home_since = None
+    waiting.resend_at = None
+    effects.append(Send(waiting.home, waiting.message))
     return effects
 
 
 def handle_home_lost(
-    state: EntryState, pending: PendingRequest, reason: RetryReason, now: datetime
+    state: EntryState, waiting: PendingRequest, reason: RetryReason, now: datetime
 ) -> list[Effect]:
     """Forward to the current owner, as the former home can't answer any more."""
-    pending.reason = reason
-    pending.not_served_since = None
-    return forward(state, pending, now)
+    waiting.reason = reason
+    waiting.not_served_since = None
+    return forward(state, waiting, now)
 
 
 def forward_held(state: EntryState, now: datetime) -> list[Effect]:
     """Forward the requests that wait for a reachable home."""
     effects: list[Effect] = []
-    for pending in list(state.waiting.values()):
-        if not pending.home:
-            effects += forward(state, pending, now)
+    for waiting in list(state.waiting.values()):
+        if not waiting.home:
+            effects += forward(state, waiting, now)
     return effects
 
 
 def handle_answer(
-    state: EntryState, pending: PendingRequest, answer: Answer, now: datetime
+    state: EntryState, waiting: PendingRequest, answer: Answer, now: datetime
 ) -> list[Effect]:
     """Deliver the home's answer, or resend later if it doesn't serve the partition."""
     if answer.kind in _NOT_SERVED:
-        return _handle_not_served(state, pending, answer, now)
-    return _deliver(state, pending.message.request, answer, now)
+        return _handle_not_served(state, waiting, answer, now)
+    return _deliver(state, waiting.message.request, answer, now)
 
 
 def _handle_not_served(
-    state: EntryState, pending: PendingRequest, answer: Answer, now: datetime
+    state: EntryState, waiting: PendingRequest, answer: Answer, now: datetime
 ) -> list[Effect]:
     """Schedule a resend, or fail the request after ``NOT_SERVED_TIMEOUT``."""
-    pending.last_refusal = answer
-    pending.not_served_since = pending.not_served_since or now
-    if now - pending.not_served_since >= NOT_SERVED_TIMEOUT:
+    waiting.last_refusal = answer
+    waiting.not_served_since = waiting.not_served_since or now
+    if now - waiting.not_served_since >= NOT_SERVED_TIMEOUT:
         return fail_request(
-            state, pending.message.request, now, "the partition is changing owners"
+            state, waiting.message.request, now, "the partition is changing owners"
         )
-    pending.reason = _NOT_SERVED[answer.kind]
+    waiting.reason = _NOT_SERVED[answer.kind]
     spread = 0.5 + state.random.random()
-    pending.resend_at = now + RESEND_DELAY * spread
+    waiting.resend_at = now + RESEND_DELAY * spread
     if answer.kind is ErrorKind.NOT_OWNER:
         return [Local(ViewOutdated())]
     return []
@@ -109,15 +109,15 @@
 def _deliver(
     state: EntryState, request: str, answer: Answer, now: datetime
 ) -> list[Effect]:
-    pending = state.waiting.pop(request)
-    state.waiting_bytes -= pending.size
+    waiting = state.waiting.pop(request)
+    state.waiting_bytes -= waiting.size
     effects: list[Effect] = []
     if answer.kind is not None:
         effects.append(Count(answer.kind))
-    if isinstance(pending.message, SubmitJob) and pending.message.wait:
-        seconds = (now - pending.arrived).total_seconds()
-        effects.append(Observe("response_seconds", seconds, pending.key.team))
-    if not pending.caller_left:
+    if isinstance(waiting.message, SubmitJob) and waiting.message.wait:
+        seconds = (now - waiting.arrived).total_seconds()
+        effects.append(Observe("response_seconds", seconds, waiting.key.team))
+    if not waiting.caller_left:
         effects.append(Deliver(request, answer))
     return effects
 
@@ -126,37 +126,37 @@
     state: EntryState, request: str, now: datetime, detail: str
 ) -> list[Effect]:
     """Answer without a home, claiming only whether the request was ever sent."""
-    pending = state.waiting[request]
-    answer = _failure_answer(pending, detail)
+    waiting = state.waiting[request]
+    answer = _failure_answer(waiting, detail)
     log = Log(
         logging.WARNING,
         "request given up",
-        key=pending.key,
+        key=waiting.key,
         fields=(("request", request), ("kind", answer.kind.value), ("why", detail)),
     )
     return [log, *_deliver(state, request, answer, now)]
 
 
-def _failure_answer(pending: PendingRequest, detail: str) -> Answer:
-    if not pending.was_sent:
+def _failure_answer(waiting: PendingRequest, detail: str) -> Answer:
+    if not waiting.was_sent:
         return refusal_answer(ErrorKind.HOME_UNREACHABLE, detail)
-    last = pending.last_refusal
+    last = waiting.last_refusal
     if last is not None and last.kind is ErrorKind.TAKEOVER_IN_PROGRESS:
         return last._replace(work=Work.UNKNOWN)
     return refusal_answer(ErrorKind.HOME_SILENT, detail)
 
 
 def resend_or_expire(
-    state: EntryState, request: str, pending: PendingRequest, now: datetime
+    state: EntryState, request: str, waiting: PendingRequest, now: datetime
 ) -> list[Effect]:
     """Resend a request that is due; fail it after its deadline or without a home."""
-    grace = DEADLINE_GRACE if pending.home else timedelta(0)
-    if now >= pending.deadline + grace:
+    grace = DEADLINE_GRACE if waiting.home else timedelta(0)
+    if now >= waiting.deadline + grace:
         return fail_request(state, request, now, "the deadline passed")
-    without_home = pending.without_home_since
+    without_home = waiting.without_home_since
     timeout = state.policy.takeover_after + MAX_TAKEOVER_TIME
     if without_home is not None and now - without_home >= timeout:
         return fail_request(state, request, now, "no home could be reached")
-    if pending.resend_at is not None and now >= pending.resend_at:
-        return forward(state, pending, now)
+    if waiting.resend_at is not None and now >= waiting.resend_at:
+        return forward(state, waiting, now)
     return []
