--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -1,4 +1,4 @@
-"""What an entry turns away unsent."""
+"""Requests that an entry refuses without forwarding them."""
 
 from datetime import timedelta
 
@@ -28,7 +28,7 @@
         ({"tasks": (Task(b"1"),) * 130, "attempt": 0}, None),
     ],
 )
-def test_refuses_what_can_not_be_served(changes, kind):
+def test_invalid_submissions_are_refused(changes, kind):
     process = Entry()
     process.submit(**changes)
     if kind is None:
@@ -39,7 +39,7 @@
     assert not process.sent()
 
 
-def test_over_the_quota_a_copy_is_not_passed_on_and_told_when_to_come_back():
+def test_a_submission_over_the_quota_is_refused_with_a_retry_time():
     process = Entry()
     tasks = (Task(b"1"),) * 130
     for number in range(4):
@@ -52,14 +52,14 @@
     assert answer.retry_after >= 100 * MILLISECOND
 
 
-def test_without_a_manifest_it_is_not_ready():
+def test_an_entry_without_a_manifest_is_not_ready():
     process = Entry()
     process.state = entry.new_entry(ENTRY, PARTITIONS, seed=1)
     process.submit()
     assert process.delivered_kind()[0] is ErrorKind.ENTRY_NOT_READY
 
 
-def test_with_a_wrong_clock_it_takes_no_key():
+def test_an_entry_with_a_wrong_clock_refuses_submissions():
     process = Entry()
     entry.set_clock_off(process.state, True)
     process.submit()
--- a/tests/core/test_endings.py
+++ b/tests/core/test_endings.py
@@ -7,12 +7,10 @@
 from tests.core.system import System, settled_system
 
 
-def test_results_too_large_for_a_frame_are_told_as_run(monkeypatch):
-    """The caller learns at once that its work ran, though not with what results.
+def test_results_too_large_for_a_frame_are_answered_as_run(monkeypatch):
+    """An answer over the frame bound could not be sent, and the caller would time out.
 
-    All tasks run and their results together are over the bound of one answer. A whole
-    answer would never leave the home and the caller would wait until its deadline. A
-    resubmission gets the same answer and starts nothing.
+    A resubmission gets the same answer and starts nothing.
     """
     monkeypatch.setattr(jobs, "MAX_ANSWER_BYTES", 9)
     system = settled_system()
@@ -30,7 +28,7 @@
     assert system.counts[ErrorKind.RESULT_LOST] == 1
 
 
-def test_results_at_the_bound_are_a_whole_answer(monkeypatch):
+def test_results_at_the_bound_are_answered_in_full(monkeypatch):
     monkeypatch.setattr(jobs, "MAX_ANSWER_BYTES", 10)
     system = settled_system()
     submission = system.submission("k", tasks=2)
@@ -40,7 +38,7 @@
 
 
 class ObservedSystem(System):
-    """Keeps what homes observe."""
+    """Records the values that homes observe."""
 
     def __init__(self, **options):
         self.observed = []
@@ -52,7 +50,7 @@
         super()._perform(node, effect)
 
 
-def test_a_whole_job_is_measured_by_team():
+def test_a_complete_job_is_measured_by_team():
     system = ObservedSystem()
     system.run(3)
     system.hold_upstreams = True
@@ -65,10 +63,9 @@
 
 
 def test_refusals_stay_true_when_their_table_is_full(monkeypatch):
-    """Under overload the home forgets single refusals; one floor stands for them.
+    """A floor replaces the refusal records, and late resubmissions stay refused.
 
-    Copies of the refused submissions come late, when there would be room. They are
-    refused still, and run only with the number that the refusal then hands out.
+    They run only with the attempt number that the last refusal issued.
     """
     monkeypatch.setattr(endings, "MAX_REFUSALS", 3)
     system = settled_system(workers=3, partitions=1)
--- a/tests/core/test_fair_queue.py
+++ b/tests/core/test_fair_queue.py
@@ -1,4 +1,4 @@
-"""Order of service between teams."""
+"""Weighted fair queueing between teams."""
 
 from collections import Counter
 
@@ -54,7 +54,7 @@
 
 
 @given(st.lists(st.tuples(st.sampled_from("abc"), st.floats(0.05, 5)), max_size=60))
-def test_each_item_comes_out_once_and_a_team_keeps_its_order(pushes):
+def test_each_item_is_popped_once_in_the_order_of_its_team(pushes):
     queue = new_fair_queue()
     for number, (team, cost) in enumerate(pushes):
         push(queue, team, 1.0, cost, (team, number))
@@ -65,7 +65,7 @@
         assert mine == [n for n, (name, _) in enumerate(pushes) if name == team]
 
 
-def test_an_item_put_back_goes_next_and_costs_nothing():
+def test_a_requeued_item_is_next_and_is_not_charged_again():
     queue = filled([("a", 1.0, 3), ("b", 1.0, 3)])
     refused = pop(queue)
     requeue(queue, refused[0], refused)
--- a/tests/core/test_forwarding.py
+++ b/tests/core/test_forwarding.py
@@ -1,4 +1,4 @@
-"""A copy on its way: homes that are lost, move, are silent, or are not ready."""
+"""Forwarding to homes that are lost, replaced, silent or not ready."""
 
 from gypsumspoke.core import forwarding
 from gypsumspoke.core.counters import RetryReason
@@ -9,12 +9,8 @@
 from tests.core.entry_reducer import DONE, MILLISECOND, SECOND, START, Entry, refused
 
 
-def test_a_lost_home_gets_the_same_copy_again_when_it_is_back():
-    """The connection to the home breaks while the caller waits.
-
-    The answer that was under way is lost. When the home can be reached again it gets
-    the unchanged copy and attaches it to the job, so the caller sees one answer.
-    """
+def test_a_lost_home_gets_the_same_request_again_when_it_is_back():
+    """The lost answer is recovered by sending the request again unchanged."""
     process = Entry()
     process.submit()
     [(_, first)] = process.sent()
@@ -27,7 +23,7 @@
     assert process.delivered() == [("r1", DONE)]
 
 
-def test_a_partition_that_moves_takes_its_waiting_copies_along():
+def test_waiting_requests_follow_their_partition_to_the_next_home():
     process = Entry()
     process.submit(attempt=4)
     [(_, first)] = process.sent()
@@ -44,7 +40,7 @@
     assert [to for to, _ in process.sent()] == ["h2"]
 
 
-def test_a_home_that_is_not_the_owner_makes_it_read_the_map_and_try_again():
+def test_after_not_owner_the_partitions_are_read_and_the_request_is_resent():
     process = Entry()
     process.submit()
     process.answer(refused(ErrorKind.NOT_OWNER))
@@ -55,7 +51,7 @@
     assert RetryReason.HOME_MOVED in process.counted()
 
 
-def test_a_copy_sent_again_during_a_takeover_is_counted_as_that():
+def test_a_resend_during_a_takeover_is_counted_as_that():
     process = Entry()
     process.submit()
     process.answer(refused(ErrorKind.TAKEOVER_IN_PROGRESS))
@@ -64,7 +60,7 @@
     assert process.counted() == [RetryReason.TAKEOVER_IN_PROGRESS]
 
 
-def test_a_takeover_that_takes_too_long_gives_unknown():
+def test_a_takeover_that_takes_too_long_is_answered_unknown():
     process = Entry()
     process.submit()
     for _ in range(30):
@@ -77,7 +73,7 @@
     assert process.now - START <= forwarding.NOT_SERVED_TIMEOUT + SECOND
 
 
-def test_a_copy_that_was_never_sent_is_not_passed_on():
+def test_a_request_that_was_never_sent_is_answered_not_passed_on():
     process = Entry(owner="h9")
     process.submit()
     assert not process.sent()
@@ -88,7 +84,7 @@
     )
 
 
-def test_a_copy_that_was_sent_once_is_unknown():
+def test_a_request_that_was_sent_once_is_answered_unknown():
     process = Entry()
     process.submit()
     process.event(PeerLost("h1"))
@@ -98,7 +94,7 @@
     assert answer.retry_after is not None
 
 
-def test_a_silent_home_is_given_up_at_the_deadline():
+def test_a_request_to_a_silent_home_fails_after_the_deadline():
     process = Entry()
     process.submit(deadline=START + SECOND)
     process.event(Tick(), after=SECOND)
--- a/tests/core/test_home.py
+++ b/tests/core/test_home.py
@@ -1,4 +1,4 @@
-"""Homes and executors together, on the plain path and at their borders."""
+"""Homes and executors together: normal operation and edge cases."""
 
 from datetime import timedelta
 
@@ -13,7 +13,7 @@
     assert len(system.table.read("partitions/")) == 8
 
 
-def test_a_job_is_answered_whole_and_in_order():
+def test_a_job_is_answered_with_all_results_in_order():
     system = settled_system()
     submission = system.submission("k", tasks=5)
     system.submit(submission)
@@ -34,7 +34,7 @@
         assert not system.owner(start.key).startswith(start.worker + ".")
 
 
-def test_a_copy_waits_for_the_running_job_and_a_later_one_gets_its_answer():
+def test_resubmissions_attach_to_the_running_job_or_get_its_answer():
     system = settled_system()
     system.hold_upstreams = True
     submission = system.submission("k")
@@ -86,7 +86,7 @@
     assert not system.started
 
 
-def test_cancelled_before_a_start_is_not_run_and_may_come_back_with_a_higher_attempt():
+def test_a_job_cancelled_before_its_start_runs_with_a_higher_attempt():
     system = settled_system()
     system.hold_upstreams = True
     for number in range(10):
@@ -110,11 +110,10 @@
     assert ErrorKind.ALREADY_REFUSED in kinds
 
 
-def test_a_home_that_lost_a_partition_counts_its_tries_no_longer():
-    """A home wakes after a takeover; what it had placed reports to the next home.
+def test_a_home_that_lost_a_partition_stops_tracking_its_attempts():
+    """Attempts of a lost partition must not occupy executors' slots for ever.
 
-    Counted on for ever, those tries would fill the executors in the first home's eyes,
-    and jobs of its other partitions would wait for nothing.
+    Their outcomes are sent to the next home.
     """
     system = settled_system(workers=4, partitions=1)
     system.hold_upstreams = True
@@ -131,11 +130,7 @@
 
 
 def test_slow_tasks_do_not_make_a_home_refuse_all_jobs_for_ever():
-    """The upstreams hung for a while; afterwards jobs are tried again.
-
-    By the run times learned meanwhile no job could finish in time. Refusing them all
-    would keep the home from ever learning better.
-    """
+    """Run times observed while the upstreams hung must not refuse every later job."""
     system = settled_system(partitions=1)
     system.hold_upstreams = True
     system.submit(system.submission("slow", tasks=4))
@@ -149,8 +144,8 @@
     assert system.answers(hasty.key)[0].kind is None
 
 
-def test_a_caller_that_does_not_wait_gets_one_message():
-    """It hears at once that the job runs; its answer is there when it asks."""
+def test_a_caller_that_does_not_wait_gets_one_answer():
+    """It gets JOB_RUNNING at once, and the kept answer when it resubmits."""
     system = settled_system()
     submission = system.submission("k")
     system.submit(submission, wait=False)
--- a/tests/core/test_jobs.py
+++ b/tests/core/test_jobs.py
@@ -1,4 +1,4 @@
-"""What a home keeps of a running job."""
+"""State of a running job."""
 
 from datetime import datetime, timedelta, timezone
 
@@ -27,10 +27,9 @@
 
 
 def test_results_of_one_job_are_bounded_in_memory(monkeypatch):
-    """Many large results of one job don't fill the home's memory.
+    """Results over the bound of one answer are dropped, as they can't be sent.
 
-    They are dropped once they are over the bound of one answer, as none of them can be
-    handed over. A dropped one is None: an empty one would be handed on as the result.
+    A dropped result is None, since an empty one would be taken as the result.
     """
     monkeypatch.setattr(jobs, "MAX_ANSWER_BYTES", 10)
     job = new_job(tasks=4)
--- a/tests/core/test_placement.py
+++ b/tests/core/test_placement.py
@@ -1,4 +1,4 @@
-"""Choice of executors by what a home learned."""
+"""Choice of executors by reported load and outcomes."""
 
 from collections import Counter
 from datetime import datetime, timedelta, timezone
@@ -79,7 +79,7 @@
 
 
 @pytest.mark.parametrize("name", STRATEGIES)
-def test_only_reachable_fitting_workers_other_than_the_own_are_chosen(name):
+def test_only_reachable_workers_of_the_service_other_than_the_own_are_chosen(name):
     state = new_placement(1, STRATEGIES[name])
     members = [
         member("own"),
@@ -97,7 +97,7 @@
     assert not is_service_registered(state, "nothing")
 
 
-def test_tasks_wait_at_the_home_once_executors_are_full_by_its_count():
+def test_tasks_wait_at_the_home_once_all_executors_are_full():
     state = placement(3)
     chosen = Counter(place(state) for _ in range(100))
     assert set(chosen) == {"w1-1", "w2-1", None}
@@ -106,7 +106,7 @@
     assert place(state) == "w1-1"
 
 
-def test_the_more_messages_weigh_the_fewer_tasks_wait_at_an_executor():
+def test_a_higher_message_weight_queues_fewer_tasks_at_an_executor():
     strategy = STRATEGIES["expected_wait"]._replace(queue_share=0.5)
     eager = placement(2, strategy)
     assert Counter(place(eager) for _ in range(100))["w1-1"] == SLOTS * 3 // 2
@@ -116,7 +116,7 @@
     assert Counter(place(state) for _ in range(100))["w1-1"] == SLOTS
 
 
-def test_the_faster_worker_is_preferred_until_its_queue_eats_the_gain():
+def test_the_faster_worker_is_preferred_while_it_has_free_slots():
     state = placement(3)
     update_load(state, "w1-1", load(mean=0.8), NOW)
     update_load(state, "w2-1", load(mean=0.2), NOW)
@@ -124,13 +124,8 @@
     assert set(chosen) == {"w2-1"}
 
 
-def test_a_straggler_gets_nothing_while_a_better_worker_is_about_to_be_free():
-    """One worker of three takes ten times as long; the other two are full.
-
-    The straggler is always free, because it is avoided, so each burst would put some
-    task there and its whole job would wait. The task stays at the home instead, and
-    goes out as soon as one of the others answers.
-    """
+def test_a_slow_worker_gets_nothing_while_a_better_one_is_about_to_be_free():
+    """A slow worker is free because it is avoided; its tasks would delay whole jobs."""
     state = placement(4)
     for worker, mean in (("w1-1", 0.2), ("w2-1", 0.2), ("w3-1", 2.0)):
         update_load(state, worker, load(mean=mean), NOW)
@@ -140,38 +135,34 @@
     assert place(state) == "w1-1"
 
 
-def test_a_straggler_is_used_when_it_is_all_there_is():
+def test_a_slow_worker_is_used_when_it_is_the_only_one():
     state = placement(2)
     update_load(state, "w1-1", load(mean=30.0), NOW)
     assert place(state) == "w1-1"
 
 
-def test_tasks_of_other_homes_count():
+def test_tasks_of_other_homes_count_as_load():
     state = placement(3)
     update_load(state, "w1-1", load(running=SLOTS, queued=SLOTS, mean=0.2), NOW)
     update_load(state, "w2-1", load(mean=0.2), NOW)
     assert place(state) == "w2-1"
 
 
-def test_one_task_may_go_to_an_executor_that_others_fill():
+def test_one_task_may_go_to_an_executor_filled_by_other_homes():
     state = placement(2)
     update_load(state, "w1-1", load(running=SLOTS, queued=SLOTS), NOW)
     assert place(state) == "w1-1"
     assert place(state) is None
 
 
-def test_a_leaving_executor_gets_nothing():
+def test_an_executor_without_slots_gets_nothing():
     state = placement(2)
     update_load(state, "w1-1", load(slots=0), NOW)
     assert place(state) is None
 
 
-def test_a_worker_that_hangs_loses_its_looks():
-    """One worker of two stops answering while the other works on.
-
-    It sends no run times, so its mean stays as good as it was. The home counts the
-    time since it last answered, and so prefers the one that works.
-    """
+def test_a_worker_that_hangs_is_no_longer_preferred():
+    """A hung worker reports no run times, so its mean alone would stay good."""
     state = placement(3)
     for worker in ("w1-1", "w2-1"):
         record_placement(state, worker, NOW)
@@ -183,11 +174,7 @@
 
 
 def test_a_worker_that_fails_everything_fast_is_ejected():
-    """One worker fails each task within a millisecond; the others take their time.
-
-    Counted by run time or by tasks in flight it would look best and draw ever more
-    tasks. Failures leave its mean alone and take it out after a few.
-    """
+    """By run time or tasks in flight it would look best and attract all tasks."""
     state = placement(5)
     fail_until_ejected(state, "w1-1")
     assert ejected_executors(state) == {"w1-1"}
@@ -195,7 +182,7 @@
 
 
 def test_when_all_fail_nobody_is_ejected():
-    """Bad jobs fail everywhere; ejecting would only shrink what is left."""
+    """Bad jobs fail on every worker; ejecting workers would only reduce capacity."""
     state = placement(5)
     for _ in range(10):
         for worker in ("w1-1", "w2-1", "w3-1", "w4-1"):
@@ -204,7 +191,7 @@
     assert len(ejected_executors(state)) <= 1
 
 
-def test_an_ejected_worker_gets_single_probes_ever_rarer_and_comes_back():
+def test_an_ejected_worker_gets_rarer_probes_until_it_is_reinstated():
     state = placement(5)
     fail_until_ejected(state, "w1-1")
     pauses = []
@@ -232,22 +219,18 @@
     assert len(set(chosen)) == 3
 
 
-def test_waiting_time_follows_the_rate_at_which_slots_come_free():
+def test_the_expected_wait_follows_the_rate_at_which_slots_become_free():
     state = placement(3)
     record_placement(state, "w1-1", NOW)
     for worker in ("w1-1", "w2-1"):
         update_load(state, worker, load(running=1, mean=0.4), NOW)
-    # w1 has this home's task alone; at w2 the home can hope for half of the slots.
+    # All slots of w1 serve this home; at w2 it is expected to get half of them.
     rate = SLOTS / 0.4 + SLOTS / 0.4 / 2
     assert expected_wait(state, SERVICE, 40) == timedelta(seconds=40 / rate)
 
 
 def test_slow_runs_of_the_past_do_not_keep_an_idle_home_from_accepting():
-    """All runs took a minute while the workers were paused; now they are fast again.
-
-    A home refuses a job whose expected time passes its deadline. If it went by those
-    runs it would refuse every job, run nothing and never learn better.
-    """
+    """Otherwise the home would refuse every job and never observe faster runs."""
     state = placement(3)
     record_placement(state, "w1-1", NOW)
     finish(state, "w1-1", seconds=60.0)
--- a/tests/core/test_promises.py
+++ b/tests/core/test_promises.py
@@ -1,9 +1,9 @@
-"""The promises under arbitrary histories, against a naive version.
+"""Stateful tests of the system's guarantees against a reference model.
 
-The naive version is one process with one dictionary and no faults: it starts each task
-of a key once and answers from the dictionary. Whatever happens, the system may do less
-than that (refuse, fail, not know) but never something else. Each history ends without
-faults, and then a new job must be served: what was lost must not stop the system.
+The model is one process with one dictionary and no faults: it starts each task of a key
+once and answers from the dictionary. The system may refuse, fail or answer "unknown",
+but never contradict the model. Each history ends without faults, and a new job must
+then be served.
 
 A long run with fresh seeds: ``HYPOTHESIS_PROFILE=search pytest
 tests/core/test_promises.py``.
@@ -33,7 +33,7 @@
 HALF_SKEW = 0.45
 
 
-class NaiveVersion:
+class ReferenceModel:
     """One process, one dictionary, no faults."""
 
     def __init__(self):
@@ -57,7 +57,7 @@
             node.offset = timedelta(seconds=offset * HALF_SKEW)
         self.system.run(3)
         self.system.hold_upstreams = True
-        self.naive = NaiveVersion()
+        self.model = ReferenceModel()
         self.submissions = []
         self.versions = {}
 
@@ -159,7 +159,7 @@
     def finish_all_tasks(self):
         self.system.finish_upstreams()
 
-    # -- what faults are usually followed by
+    # -- combinations that follow faults
 
     @rule(count=st.integers(2, 4))
     def submit_some(self, count):
@@ -237,7 +237,7 @@
 
     @rule(index=INDEXES)
     def replace_a_paused_one(self, index):
-        """The platform gives up a paused worker and starts its replacement."""
+        """Start a replacement for a paused worker, as the platform does."""
         workers = [
             worker
             for worker in sorted(self.system.incarnations)
@@ -282,7 +282,7 @@
         self.system.table.is_down = is_down
         self.system.table.answers_to_lose = lost
 
-    # -- what must always hold
+    # -- invariants
 
     @invariant()
     def no_task_starts_twice(self):
@@ -302,7 +302,7 @@
     @invariant()
     def each_answer_is_whole_and_its_own(self):
         expected = {
-            submission.key: self.naive.submit(submission)
+            submission.key: self.model.submit(submission)
             for submission in getattr(self, "submissions", ())
         }
         for told in getattr(self, "system", System(workers=0)).told:
@@ -327,7 +327,7 @@
                 self.system.join(worker)
 
     def teardown(self):
-        """After the faults a new job is served, and old ones still not twice."""
+        """After the faults a new job is served, and no old task starts twice."""
         if not hasattr(self, "submissions"):
             return
         system = self.system
--- a/tests/core/test_quota.py
+++ b/tests/core/test_quota.py
@@ -64,7 +64,7 @@
         return offered, admitted
 
     def excess(self):
-        """Most tasks admitted in any window above the quota for its length."""
+        """Return the maximum of tasks admitted above the quota in any window."""
         worst = level = 0.0
         last = START
         for at, tasks in self.admitted:
@@ -78,7 +78,7 @@
 BOUND = TEAM.burst + len(NAMES) * MAX_TASKS
 
 
-def test_below_the_quota_nobody_is_refused_however_the_load_is_spread():
+def test_below_the_quota_nothing_is_refused_for_any_distribution_of_load():
     entries = Entries()
     entries.run(3, {"e1": 800, "e2": 20, "e3": 20})
     offered, admitted = entries.run(20, {"e1": 800, "e2": 20, "e3": 20})
@@ -101,7 +101,7 @@
     assert entries.excess() <= BOUND
 
 
-def test_the_bound_holds_while_the_load_moves_between_the_entries():
+def test_the_bound_holds_while_load_moves_between_entries():
     entries = Entries()
     choice = random.Random(5)
     for _ in range(30):
@@ -110,7 +110,7 @@
     assert entries.excess() <= BOUND
 
 
-def test_jobs_count_by_their_tasks():
+def test_a_job_counts_with_all_its_tasks():
     entries = Entries()
     _, admitted = entries.run(20, dict.fromkeys(NAMES, 10_000), job=MAX_TASKS)
     assert 0.93 * 20_000 <= admitted <= 20_000 + BOUND
@@ -118,11 +118,7 @@
 
 
 def test_entries_that_lose_one_another_fall_back_to_equal_parts():
-    """A cut separates the entries while one of them carries nearly all the load.
-
-    Each must assume that the others use their parts: after the silence is noticed
-    they admit no more than the quota together, however much they are offered.
-    """
+    """Entries cut off from one another together admit no more than the quota."""
     entries = Entries()
     entries.run(5, {"e1": 2000, "e2": 0, "e3": 0})
     entries.cut = True
@@ -134,7 +130,7 @@
     assert entries.excess() <= BOUND + limit
 
 
-def test_a_refusal_says_when_the_bucket_has_enough():
+def test_a_refusal_tells_when_to_retry():
     entries = Entries(("e1",))
     assert entries.offer("e1", 130) is None
     assert entries.offer("e1", 130) == timedelta(milliseconds=100)
@@ -143,7 +139,7 @@
     assert entries.offer("e1", 130) is None
 
 
-def test_a_lowered_quota_holds_at_once():
+def test_a_lowered_quota_applies_at_once():
     entries = Entries(("e1",))
     entries.run(3, {"e1": 2000})
     lower = TEAM._replace(tasks_per_second=100, burst=10)
@@ -152,7 +148,7 @@
     assert admitted <= 1000 + 10 + MAX_TASKS
 
 
-def test_a_late_report_does_not_replace_a_newer_one():
+def test_an_outdated_report_does_not_replace_a_newer_one():
     entries = Entries(("e1", "e2"))
     state = entries.states["e1"]
     entries.offer("e1", 1)
