--- a/gypsumspoke/core/__init__.py
+++ b/gypsumspoke/core/__init__.py
@@ -1,1 +1,1 @@
-"""Pure decisions: no I/O, no clock, no gevent; see docs/DESIGN.md."""
+"""Pure reducers: no I/O, no clock, no gevent; see docs/DESIGN.md."""
--- a/gypsumspoke/core/counters.py
+++ b/gypsumspoke/core/counters.py
@@ -1,10 +1,10 @@
-"""What is counted: why things were done again, and that a safeguard acted."""
+"""Counted events: reasons for retries, and protective mechanisms that took effect."""
 
 from enum import Enum
 
 
 class RetryReason(Enum):
-    """Why a message or a placement was made again; one counter for each."""
+    """Why a message or a placement was repeated; each has a counter."""
 
     EXECUTOR_QUEUE_FULL = "executor_queue_full"
     EXECUTOR_LEAVING = "executor_leaving"
@@ -33,7 +33,7 @@
 
 
 class Counter(Enum):
-    """Counted events that show that a safeguard acted; one metric for each."""
+    """Other counted events; each has a metric."""
 
     REFUSED_BY_EPOCH = "refused_by_epoch"
     REFUSED_AS_DUPLICATE = "refused_as_duplicate"
--- a/gypsumspoke/core/effects.py
+++ b/gypsumspoke/core/effects.py
@@ -1,4 +1,4 @@
-"""What a reducer wants done; the shell carries it out."""
+"""Outputs of the reducers, which the shell carries out."""
 
 from datetime import datetime
 from typing import NamedTuple
@@ -11,14 +11,14 @@
 
 
 class Send(NamedTuple):
-    """Send a message to a peer, over any live connection; lost if there is none."""
+    """Send a message to a peer over any live connection; dropped if there is none."""
 
     to: str
     message: Message
 
 
 class StartUpstream(NamedTuple):
-    """Post the task's body to the upstream beside this executor.
+    """Post the task's body to this executor's upstream.
 
     The shell answers with UpstreamAnswered.
     """
@@ -42,7 +42,7 @@
 
     Attributes:
       request: echoed in RowsWritten.
-      checks: rows with the version they must still have (0 = absent).
+      checks: (key, expected version); version 0 means absent.
       writes: (key, new value or None to delete).
     """
 
@@ -52,14 +52,14 @@
 
 
 class Count(NamedTuple):
-    """Count one event; the shell maps each enum to a metric."""
+    """Increment the counter of ``what``; the shell maps each enum to a metric."""
 
     what: Counter | RetryReason | ErrorKind
     amount: int = 1
 
 
 class Observe(NamedTuple):
-    """Record one measured value in the histogram of this name.
+    """Record one value in the histogram of this name.
 
     ``name`` is one of: takeover_seconds, queue_wait_seconds, response_seconds,
     response_over_ideal, messages_per_task, wasted_messages.
@@ -75,8 +75,8 @@
 
     Attributes:
       level: as in ``logging``.
-      event: fixed sentence without values.
-      key, task, attempt: what it is about, where known.
+      event: fixed message without values.
+      key, task, attempt: the job, task and attempt that it is about, where known.
       fields: further (name, value) pairs.
     """
 
@@ -89,25 +89,25 @@
 
 
 class Deliver(NamedTuple):
-    """Entry only: hand this answer to the waiting caller of ``request``."""
+    """Entry only: return this answer to the waiting caller of ``request``."""
 
     request: str
     answer: Answer
 
 
 class ApplyManifest(NamedTuple):
-    """This version of the manifest is in force in this process from now on."""
+    """Put this version of the manifest into force in this process."""
 
     version: int
     text: str
 
 
 class Exit(NamedTuple):
-    """The graceful stop is complete; end the process with status 0."""
+    """End the process with status 0 after a graceful stop."""
 
 
 class Local(NamedTuple):
-    """Hand this event to the sibling reducers of the same process."""
+    """Pass this event to the sibling reducers of the same process."""
 
     event: LocalEvent
 
--- a/gypsumspoke/core/errors.py
+++ b/gypsumspoke/core/errors.py
@@ -1,10 +1,10 @@
-"""The closed list of error kinds and the one table from kind to answer.
+"""Error kinds and the table from kind to HTTP answer.
 
 Every refusal and failure that a caller or an operator can see is one of these kinds,
-so that counters, log lines, HTTP answers and documents use the same words. What an
-answer claims about the work is part of the table and not of the code that refuses:
+so that counters, log lines, HTTP answers and documents use the same terms. What an
+answer claims about the work is part of the table rather than of the refusing code:
 only a home may use a kind that claims "not run", because an entry can't know whether
-another copy of the submission is running (docs/DESIGN.md, "Claims").
+the submission runs through another entry (docs/DESIGN.md, "Claims").
 """
 
 from datetime import timedelta
@@ -17,8 +17,9 @@
 
     ``RAN``: every task ran. ``PARTLY_RAN``: at least one task started and at least
     one never will. ``NOT_RUN``: no task of this attempt or a lower one started or will.
-    ``UNKNOWN``: may or may not have run. ``NOT_PASSED_ON``: this copy went no
-    further; nothing is claimed about other copies. ``RUNNING``: not finished.
+    ``UNKNOWN``: may or may not have run. ``NOT_PASSED_ON``: this request was not
+    forwarded; nothing is claimed about other requests for the submission.
+    ``RUNNING``: not finished.
     """
 
     RAN = "ran"
@@ -30,7 +31,7 @@
 
 
 class ErrorKind(Enum):
-    """Every reason for an answer other than a complete one."""
+    """Every reason for an answer other than a complete result."""
 
     INVALID_REQUEST = "invalid_request"
     BODY_TOO_LARGE = "body_too_large"
@@ -78,10 +79,9 @@
 
     Attributes:
       status: HTTP status code.
-      title: the short fixed sentence of the problem details (RFC 9457).
-      work: what the kind claims, or None where the home states it per answer.
-      retry_after: when to come back if the refuser computed nothing better; None
-        where coming back does not help.
+      title: the title of the problem details (RFC 9457).
+      work: what the kind claims, or None where the home sets it per answer.
+      retry_after: default delay before a retry; None where a retry does not help.
     """
 
     status: int
--- a/gypsumspoke/core/events.py
+++ b/gypsumspoke/core/events.py
@@ -1,4 +1,4 @@
-"""What a reducer is told: messages that arrived, connections, the table, time."""
+"""Inputs of the reducers: messages, connections, answers of the table, time."""
 
 from datetime import datetime, timedelta
 from enum import Enum
@@ -10,11 +10,11 @@
 
 
 class Arrival(NamedTuple):
-    """When an event had arrived, which may be long before it is handled.
+    """Bounds on the arrival time of an event, which may be long before its handling.
 
     Attributes:
-      heard: all that had arrived by then was read with it or before.
-      earliest: it arrived no earlier.
+      heard: everything that had arrived by this time was read with it or before.
+      earliest: lower bound on its arrival.
       read: when it was read.
     """
 
@@ -24,7 +24,7 @@
 
 
 class Timed(NamedTuple):
-    """An event with its arrival, for reducers that ask for it."""
+    """An event with its arrival times, for reducers that need them."""
 
     arrival: Arrival
     event: Any
@@ -38,27 +38,27 @@
 
 
 class PeerConnected(NamedTuple):
-    """A connection to or from this incarnation is up, after a valid hello."""
+    """A connection to or from this incarnation is established and its hello valid."""
 
     incarnation: str
 
 
 class PeerLost(NamedTuple):
-    """A connection to this incarnation ended, and messages on it may be lost.
+    """A connection to this incarnation ended; messages on it may be lost.
 
-    If another one is up, PeerConnected follows at once.
+    If another connection to it is up, PeerConnected follows immediately.
     """
 
     incarnation: str
 
 
 class UpstreamAnswered(NamedTuple):
-    """The end of a StartUpstream.
+    """The result of a StartUpstream.
 
     Attributes:
-      attempt: which try.
+      attempt: the attempt.
       outcome: NOT_RUN only if no byte was sent to the upstream.
-      result: body when done.
+      result: response body when done.
       reason: as in TaskOutcome.
     """
 
@@ -69,12 +69,12 @@
 
 
 class UpstreamAnnounced(NamedTuple):
-    """The upstream beside this executor said what it is, or that it leaves.
+    """This executor's upstream announced its service and size, or that it leaves.
 
     Attributes:
-      service: its service; never changes while the process lives.
-      slots: tasks it runs at once.
-      leaving: it gets nothing new from now on, until it is announced again.
+      service: its service; constant during the lifetime of the process.
+      slots: maximum number of concurrent tasks.
+      leaving: it accepts no new tasks until it is announced again.
     """
 
     service: str
@@ -83,14 +83,14 @@
 
 
 class RowsRead(NamedTuple):
-    """The end of a ReadRows; ``rows`` is None when the table did not answer."""
+    """The result of a ReadRows; ``rows`` is None when the table did not answer."""
 
     request: str
     rows: tuple[Row, ...] | None
 
 
 class WriteOutcome(Enum):
-    """What is known of a transaction; LOST may have taken effect or not."""
+    """Outcome of a transaction; after LOST it is unknown whether it took effect."""
 
     COMMITTED = "committed"
     CONFLICT = "conflict"
@@ -98,7 +98,7 @@
 
 
 class RowsWritten(NamedTuple):
-    """The end of a WriteRows; ``revision`` is the new version when committed."""
+    """The result of a WriteRows; ``revision`` is the new version when committed."""
 
     request: str
     outcome: WriteOutcome
@@ -106,19 +106,19 @@
 
 
 class MembersChanged(NamedTuple):
-    """Local: the membership view changed; all rows, ended ones included."""
+    """Local: the membership view changed; carries all rows, ended ones included."""
 
     members: tuple[Member, ...]
 
 
 class PartitionsChanged(NamedTuple):
-    """Local: rows of the partition map that changed."""
+    """Local: rows of the partition map changed; carries the changed ones."""
 
     rows: tuple[PartitionRow, ...]
 
 
 class ReachabilityChanged(NamedTuple):
-    """Local: incarnations that answer heartbeats now."""
+    """Local: the set of incarnations that answer heartbeats changed."""
 
     reachable: frozenset[str]
 
@@ -131,21 +131,21 @@
 
 
 class Tick(NamedTuple):
-    """Time has passed; the shell sends one every ``TICK``."""
+    """Time has passed; the shell sends one every ``TICK`` interval."""
 
 
 TICK = timedelta(milliseconds=100)
 
 
 class TurnEnded(NamedTuple):
-    """The events that were queued are reduced; what serves all of them may follow."""
+    """All queued events are reduced; work that is batched over them may follow."""
 
 
 TURN_ENDED = TurnEnded()
 
 
 class Drain(NamedTuple):
-    """Stop gracefully: take no new work, finish what runs, then Exit."""
+    """Stop gracefully: accept no new work, finish running work, then Exit."""
 
 
 LocalEvent = (
--- a/gypsumspoke/core/messages.py
+++ b/gypsumspoke/core/messages.py
@@ -1,8 +1,8 @@
-"""Messages between processes; ``wire`` gives each a thrift struct of the same fields.
+"""Messages between processes; ``wire`` maps each to a thrift struct of the same fields.
 
-A message names what it speaks of (key, task, partition, epoch) and never relies on
-the connection or the order it came by, so a late or crossed answer can't be taken for
-another's.
+Each message identifies its subject (key, task, partition, epoch) and depends neither on
+the connection nor on the order of arrival, so that a late or reordered answer is not
+matched to the wrong request.
 """
 
 from datetime import datetime, timedelta
@@ -23,13 +23,13 @@
 
 
 class SubmitJob(NamedTuple):
-    """Entry to home: one copy of a submission. Safe to send again.
+    """Entry to home: a submission. Idempotent, so the entry may send it again.
 
     Attributes:
-      request: identity of this copy at the sending entry.
-      partition: the partition that the entry computed.
+      request: identity of the caller's request at the sending entry.
+      partition: partition of the key as computed by the entry.
       submission: the job.
-      wait: False asks for a JOB_RUNNING answer at once.
+      wait: False requests an immediate JOB_RUNNING answer.
     """
 
     request: str
@@ -39,7 +39,7 @@
 
 
 class QueryJob(NamedTuple):
-    """Entry to home: what became of this key."""
+    """Entry to home: request the state of a job."""
 
     request: str
     partition: int
@@ -47,7 +47,7 @@
 
 
 class CancelJob(NamedTuple):
-    """Entry to home: start nothing more of this key."""
+    """Entry to home: cancel the job; no further task of it starts."""
 
     request: str
     partition: int
@@ -66,13 +66,13 @@
     """Home to executor: run one task, at most once.
 
     Attributes:
-      attempt: identity of the try.
+      attempt: identity of this placement.
       partition: partition of the key; its epoch is in ``attempt``.
       submission_attempt, birth, digest, task_count: see StartRecord.
       service: upstream service.
-      deadline: not started after this.
+      deadline: the task is not started after this time.
       not_repeatable: passed on to the upstream.
-      body: body for the upstream.
+      body: request body for the upstream.
     """
 
     attempt: AttemptId
@@ -88,10 +88,10 @@
 
 
 class AskAttempt(NamedTuple):
-    """Home to executor, after silence or a takeover: what became of this try.
+    """Home to executor, after silence or a takeover: request the state of an attempt.
 
-    An executor that never saw it marks it refused for good before it answers
-    NOT_RUN. While it runs, the outcome goes to the last home that asked.
+    An executor that never received the attempt refuses it permanently before it
+    answers NOT_RUN. The outcome of a running attempt goes to the last home that asked.
     """
 
     attempt: AttemptId
@@ -99,22 +99,21 @@
 
 
 class CancelTask(NamedTuple):
-    """Home to executor: don't start this try if it still waits."""
+    """Home to executor: don't start this attempt if it is still queued."""
 
     attempt: AttemptId
     partition: int
 
 
 class TaskOutcome(NamedTuple):
-    """Executor to home: the end of one try.
+    """Executor to home: the final outcome of one attempt.
 
     Attributes:
-      attempt: identity of the try.
-      outcome: what became of it.
-      result: the upstream's body when done.
-      reason: why it is NOT_RUN or FAILED, in the words of ``RetryReason``; empty
-        when done.
-      load: the executor's load now.
+      attempt: the attempt.
+      outcome: its outcome.
+      result: the upstream's response body when done.
+      reason: why it is NOT_RUN or FAILED, a value of ``RetryReason``; empty when done.
+      load: the executor's current load.
       run_time: how long the upstream took; None unless it ran.
     """
 
@@ -127,30 +126,31 @@
 
 
 class TaskRunning(NamedTuple):
-    """Executor to home: the answer to AskAttempt while the try waits or runs."""
+    """Executor to home: the answer to AskAttempt while the attempt waits or runs."""
 
     attempt: AttemptId
     load: Load
 
 
 class Fence(NamedTuple):
-    """New home to executor: refuse epochs below this one and say what you know."""
+    """New home to executor: refuse lower epochs and return the partition's records."""
 
     partition: int
     epoch: int
 
 
 class FenceAck(NamedTuple):
-    """Executor to new home: fenced; one chunk of all it knows of the partition.
+    """Executor to new home: one chunk of the acknowledgement, with its records.
 
     Attributes:
       partition, epoch: as in the fence.
       incarnation: the executor's incarnation.
       chunk, chunks: position of this chunk, from 0, and how many there are.
-      started: start records, including ones remembered for other executors.
+      started: start records, including those kept for other executors.
       closed: closed jobs.
-      covers: incarnations all of whose records of the partition stand here.
-      forgotten_before: records of submissions born before may have been dropped.
+      covers: incarnations whose records of the partition are included in full.
+      forgotten_before: records of submissions with an earlier birth may have been
+        dropped.
     """
 
     partition: int
@@ -165,7 +165,7 @@
 
 
 class FenceRefused(NamedTuple):
-    """Executor to home: this executor has promised a higher epoch."""
+    """Executor to home: the executor has acknowledged a higher epoch."""
 
     partition: int
     epoch: int
@@ -173,14 +173,14 @@
 
 
 class CloseJob(NamedTuple):
-    """Home to executor: confirm the epoch, and keep these final refusals.
+    """Home to executor: confirm the epoch and keep these closed jobs.
 
-    Sent before a home says that anything was not run; see docs/DESIGN.md, "Claims".
+    Sent before a home answers that anything was not run; see docs/DESIGN.md, "Claims".
 
     Attributes:
       partition, epoch: the home's ownership, which the executor checks.
-      confirmation: number chosen by the home, echoed.
-      closed: jobs that started in part and end now; empty to only confirm.
+      confirmation: number chosen by the home and echoed in the acknowledgement.
+      closed: partly started jobs that end now; empty to only confirm the epoch.
     """
 
     partition: int
@@ -190,7 +190,7 @@
 
 
 class CloseAck(NamedTuple):
-    """Executor to home: the epoch was current here and the records are kept."""
+    """Executor to home: the epoch is current here and the records are kept."""
 
     partition: int
     epoch: int
@@ -198,18 +198,19 @@
 
 
 class Remember(NamedTuple):
-    """Keep another executor's records of a partition as if they were one's own.
+    """One chunk of records of a partition for another executor to keep as its own.
 
     Sent by a new owner about its own executor, and by an executor that leaves.
 
     Attributes:
       partition: the partition.
-      epoch: ownership under which a home tells; 0 from the leaving executor itself.
-      source: name of what is told, for its acknowledgement.
+      epoch: epoch of the sending home; 0 from the leaving executor itself.
+      source: identifies the set of records; echoed in the acknowledgement.
       chunk, chunks: position of this chunk, from 0, and how many there are.
       started, closed: the records.
-      covers: whose records stand in these messages in full.
-      forgotten_before: records of submissions born before may have been dropped.
+      covers: incarnations whose records are included in full.
+      forgotten_before: records of submissions with an earlier birth may have been
+        dropped.
     """
 
     partition: int
@@ -224,7 +225,7 @@
 
 
 class RememberAck(NamedTuple):
-    """All chunks of a Remember are kept."""
+    """All chunks of the Remember messages of this source are kept."""
 
     partition: int
     source: str
@@ -236,11 +237,14 @@
     Attributes:
       partition, epoch, version: the row that the next home must replace.
       chunk, chunks: position of this chunk, from 0, and how many there are.
-      floor: ``born_before`` of the partition's floor, see core/ledger.py.
-      lossy_before: unknown keys born before this are RECORDS_LOST; None if none.
-      forgotten_before: keys born before this may have been dropped from the ledger.
-      refused, finished: the ledger. A job that still runs stands in ``finished`` with
-        kind JOB_RUNNING; the fence finds what it started.
+      floor: unknown keys with an earlier birth need a higher attempt number; see
+        ``Floor`` in core/ledger.py.
+      lossy_before: records of unknown keys with an earlier birth may be lost, so they
+        are answered RECORDS_LOST; None if no record can be lost.
+      forgotten_before: keys with an earlier birth may have been dropped from the
+        ledger.
+      refused, finished: the ledger. A running job is in ``finished`` with kind
+        JOB_RUNNING; the fence collects what it started.
     """
 
     partition: int
@@ -256,7 +260,12 @@
 
 
 class HandoffAck(NamedTuple):
-    """Next home to leaving home: it owns the partition now, or never will."""
+    """Next home to leaving home: whether it took the partition over.
+
+    Attributes:
+      partition, epoch: as in the handoff.
+      taken: True if it owns the partition now; False if it never will.
+    """
 
     partition: int
     epoch: int
@@ -264,17 +273,17 @@
 
 
 class Heartbeat(NamedTuple):
-    """Any process to a peer: I am here, and this is how far I know.
+    """Any process to a peer: liveness, and the versions of the rows it has read.
 
     Attributes:
       incarnation: the sender.
       clock: the sender's time.
-      manifest_version: version in force at the sender.
-      members_version: highest version of a member row it has seen.
-      partitions_version: highest version of a partition row it has seen.
+      manifest_version: version of the manifest in force at the sender.
+      members_version: highest version of a member row that it has read.
+      partitions_version: highest version of a partition row that it has read.
       load: the executor's load; None from an entry.
-      leaving: it takes no new work.
-      answer: True when it answers a heartbeat; a heartbeat with False is answered.
+      leaving: it accepts no new work.
+      answer: True in the reply to a heartbeat, which is not answered in turn.
     """
 
     incarnation: str
@@ -288,24 +297,24 @@
 
 
 class ManifestRequest(NamedTuple):
-    """Send me your manifest if it is newer than this version."""
+    """Any process to a peer: send the manifest if it is newer than this version."""
 
     version: int
 
 
 class ManifestUpdate(NamedTuple):
-    """A manifest as it stands in the platform's table."""
+    """A manifest as stored in the platform's table."""
 
     version: int
     text: str
 
 
 class TeamUsage(NamedTuple):
-    """Entry to entries: tasks that each team started in the last interval.
+    """Entry to other entries: each team's rate of tasks over the last interval.
 
     Attributes:
       incarnation: the reporting entry.
-      sequence: grows by one with each report.
+      sequence: incremented with each report.
       usage: (team, tasks per second offered, tasks per second admitted).
     """
 
--- a/gypsumspoke/core/values.py
+++ b/gypsumspoke/core/values.py
@@ -1,4 +1,4 @@
-"""What submissions, members and records are: immutable tuples that all else takes.
+"""Immutable value types shared by the whole package: submissions, records, members.
 
 Times are aware UTC datetimes, durations are timedeltas, bodies are bytes.
 """
@@ -11,31 +11,39 @@
 
 
 class JobKey(NamedTuple):
-    """Identity of a submission: the team and the caller's idempotency key."""
+    """Identity of a submission: the team and its caller's idempotency key."""
 
     team: str
     key: str
 
 
 class Task(NamedTuple):
-    """One task of a job: the body for the upstream and the declared run time."""
+    """One task of a job: the request body for the upstream and its declared run time.
+
+    Attributes:
+      body: sent to the upstream unchanged.
+      declared: the run time that the caller expects; None if not declared.
+    """
 
     body: bytes
     declared: timedelta | None = None
 
 
 class Submission(NamedTuple):
-    """A job as the caller sent it.
+    """A job as the caller submitted it.
 
     Attributes:
       key: identity; the same on every resubmission.
-      birth: time of the first submission; the same on every resubmission.
-      attempt: 0 at first; a later value only as a refusal handed it out.
+      birth: time of the first submission by the caller's clock; the same on every
+        resubmission. Its age decides when records of the key expire.
+      attempt: 0 at first; a higher number only if a refusal issued it as
+        ``next_attempt``.
       service: name of the upstream service.
       deadline: when the caller stops waiting.
-      not_repeatable: the caller's mark, passed on to the upstream.
+      not_repeatable: set by the caller and passed on to the upstream.
       tasks: 1 to ``MAX_TASKS`` tasks.
-      digest: hash of service, mark and bodies; tells a reused key from a copy.
+      digest: hash of service, ``not_repeatable`` and bodies; distinguishes a reused
+        key from a resubmission.
     """
 
     key: JobKey
@@ -58,12 +66,12 @@
 
     Attributes:
       kind: None when complete, else the reason.
-      work: what is claimed about the tasks.
+      work: what the answer claims about the tasks.
       results: one body per task, in order; empty unless complete.
       outcomes: one per task for a failed job that started; else empty.
-      next_attempt: with which attempt the caller may resubmit after "not run".
-      retry_after: when coming back helps; None where it does not.
-      detail: one sentence for a person.
+      next_attempt: attempt number with which the caller may resubmit after "not run".
+      retry_after: delay after which a retry may succeed; None if it can't.
+      detail: one sentence for a human reader.
     """
 
     kind: ErrorKind | None
@@ -76,7 +84,7 @@
 
 
 class Outcome(Enum):
-    """The closed list of what can become of a task."""
+    """The final outcome of a task."""
 
     DONE = "done"
     FAILED = "failed"
@@ -85,12 +93,12 @@
 
 
 class AttemptId(NamedTuple):
-    """One try to run one task at one executor.
+    """Identity of one attempt to run one task on one executor.
 
     Attributes:
       key: the submission.
       task: index of the task in the job, from 0.
-      number: counts the home's placements of this task, from 1.
+      number: number of the home's placement of this task, from 1.
       epoch: the partition's epoch under which the home placed it.
     """
 
@@ -101,7 +109,7 @@
 
 
 class TaskState(Enum):
-    """What an executor knows of a task."""
+    """State of a started task in its executor's record."""
 
     RUNNING = "running"
     DONE = "done"
@@ -110,16 +118,16 @@
 
 
 class StartRecord(NamedTuple):
-    """An executor's memory of one started task.
+    """An executor's record that a task was started.
 
     Attributes:
-      attempt: which try started it.
+      attempt: the attempt that started it.
       submission_attempt: the caller's attempt number under which it started.
-      birth: birth of the submission; the record is kept until it expires.
+      birth: birth of the submission; the record is kept until that expires.
       digest: digest of the submission.
       task_count: number of tasks of the job.
-      state: how far it is.
-      result: the upstream's body if still kept; None when dropped or not done.
+      state: state of the task.
+      result: the upstream's response body; None when not done or no longer kept.
     """
 
     attempt: AttemptId
@@ -132,7 +140,7 @@
 
 
 class ClosedRecord(NamedTuple):
-    """A job that got a final answer other than complete; nothing of it may start."""
+    """A job with a final answer other than complete; none of its tasks may start."""
 
     key: JobKey
     birth: datetime
@@ -142,7 +150,7 @@
 
 
 class RefusedRecord(NamedTuple):
-    """A "not run" that a home gave; a copy up to this attempt stays refused."""
+    """A "not run" answer of a home; submissions up to this attempt stay refused."""
 
     key: JobKey
     birth: datetime
@@ -151,7 +159,7 @@
 
 
 class FinishedRecord(NamedTuple):
-    """A final answer that a home keeps."""
+    """A final answer kept in a home's ledger for resubmissions."""
 
     key: JobKey
     birth: datetime
@@ -161,7 +169,7 @@
 
 
 class Role(Enum):
-    """The roles of the one binary that are members of the system."""
+    """The roles of processes that register as members."""
 
     ENTRY = "entry"
     SIDECAR = "sidecar"
@@ -172,19 +180,20 @@
 
     Attributes:
       incarnation: unique for each start of a process.
-      worker: name of the worker it runs on; the platform runs one process for it
-        at a time.
+      worker: name of the worker that it serves; the platform runs one process per
+        worker at a time.
       role: entry or sidecar.
-      host: IP number for peers.
+      host: IP address for peers.
       port: TCP port for peers.
       failure_domain: name of the failure domain.
       rack: name of the rack.
-      service: upstream service beside it; empty for an entry.
-      slots: tasks it runs at once; 0 for an entry.
+      service: service of its upstream; empty for an entry.
+      slots: maximum number of concurrent tasks; 0 for an entry.
       registered: time of registration.
-      ended: when a newer incarnation, a clean leave or an operator ended it.
+      ended: when the registration was ended by a newer incarnation, by a graceful
+        stop or by an operator; None while it is current.
       admin_port: TCP port for metrics, health and administration.
-      draining: an operator asked it to drain; the process acts when it reads this.
+      draining: an operator requested a drain; the process starts it on reading this.
     """
 
     incarnation: str
@@ -203,14 +212,14 @@
 
 
 class PartitionRow(NamedTuple):
-    """Who owns a partition.
+    """The row of the partition map that names a partition's owner.
 
     Attributes:
       partition: number of the partition.
-      owner: incarnation of the home; empty when given up.
-      epoch: grows by one with every change.
-      since: time of the change, by the owner's clock.
-      version: version of the table's row, for compare-and-set.
+      owner: incarnation of the home; empty after it released the partition.
+      epoch: incremented with every change of owner; a lower epoch is stale.
+      since: time of the change by the owner's clock.
+      version: version of the row in the table, for compare-and-set.
     """
 
     partition: int
@@ -221,13 +230,14 @@
 
 
 class Load(NamedTuple):
-    """What an executor says about itself on each answer.
+    """An executor's load, reported with each of its answers.
 
     Attributes:
       running: tasks at the upstream.
       queued: tasks waiting for a slot.
-      slots: tasks it may run at once; 0 while it takes none.
-      mean_run: smoothed run time of finished tasks; None before the first.
+      slots: maximum number of concurrent tasks; 0 while it accepts none.
+      mean_run: moving average of the run time of completed tasks; None before the
+        first.
     """
 
     running: int
@@ -237,9 +247,9 @@
 
 
 class Row(NamedTuple):
-    """One row of the platform's table; ``value`` is None when absent.
+    """One row of the platform's table; ``value`` is None when the row is absent.
 
-    ``version`` is 0 when absent, and never falls or repeats for one key.
+    ``version`` is 0 when absent, and never decreases or repeats for one key.
     """
 
     key: str
