--- a/gypsumspoke/core/executor.py
+++ b/gypsumspoke/core/executor.py
@@ -1,10 +1,9 @@
-"""The executor: guards one upstream's slots and starts each task at most once.
+"""The executor: manages one upstream's slots and starts each task at most once.
 
-It is the only place where a task starts, so the promise "no task starts twice" is kept
-here by three rules. A partition's epoch only rises: a home that was replaced while
-paused is refused. A started task is recorded before its body leaves. A try that was
-answered "not run" is marked, so that a copy of its message that arrives later can't
-start it; the mark is needed only until the try's deadline, after which nothing starts.
+Tasks start only here, so three rules guarantee that no task starts twice. A partition's
+epoch only increases, so a home that was replaced while paused is refused. A start is
+recorded before the body is sent. An attempt that was answered "not run" is refused
+until its deadline, so that a late or repeated message can't start it.
 """
 
 from datetime import datetime
@@ -45,10 +44,10 @@
     Args:
       incarnation: own incarnation.
       service: the upstream's service.
-      slots: tasks the upstream runs at once.
+      slots: maximum number of concurrent tasks at the upstream.
 
     Returns:
-      A state that refuses all tasks until it has seen the partition map.
+      A state that refuses all tasks until the partition map has been read.
     """
     return ExecutorState(incarnation, service, slots)
 
@@ -199,9 +198,9 @@
 
 @_on.register
 def _(event: UpstreamAnnounced, state: ExecutorState, now: datetime) -> list[Effect]:
-    """Take the upstream's size; give nothing more to one that leaves.
+    """Apply the upstream's number of slots; start nothing while it leaves.
 
-    Only the upstream goes: records are still kept and fences still answered here.
+    The executor itself stays: it keeps its records and answers fences.
     """
     state.slots = event.slots
     state.upstream_leaving = event.leaving
--- a/gypsumspoke/core/executor_state.py
+++ b/gypsumspoke/core/executor_state.py
@@ -1,7 +1,7 @@
-"""The state of one executor, shared by the modules that decide for it.
+"""The state of one executor, shared by the modules of its reducer.
 
-``executor`` takes events in, ``task_starts`` starts and refuses tasks, ``epochs`` keeps
-replaced homes out, ``record_replication`` copies records. They are one reducer.
+``executor`` dispatches events, ``task_starts`` starts and refuses tasks, ``epochs``
+refuses replaced homes, ``record_replication`` copies records to other executors.
 """
 
 from collections import deque
@@ -35,12 +35,20 @@
 
 
 class ExecutorState:
-    """All that one executor knows.
+    """State of one executor.
 
     Args:
       incarnation: own incarnation.
       service: the upstream's service.
-      slots: tasks the upstream runs at once.
+      slots: maximum number of concurrent tasks at the upstream.
+
+    Attributes:
+      epochs: the highest epoch seen of each partition.
+      map_known: whether the partition map has been read.
+      refused: attempts answered "not run", which must not start.
+      partial_remembers: chunks of incomplete Remember sets by partition and source.
+      unreplicated: partitions whose records no other executor has acknowledged yet;
+        None before the replication starts.
     """
 
     def __init__(self, incarnation: str, service: str, slots: int) -> None:
@@ -60,7 +68,7 @@
         self.upstream_leaving = False
         self.reachable: frozenset[str] = frozenset()
         self.sidecars: frozenset[str] = frozenset()
-        self.parts: dict[tuple[int, str], dict[int, Remember]] = {}
+        self.partial_remembers: dict[tuple[int, str], dict[int, Remember]] = {}
         self.unreplicated: set[int] | None = None
         self.replication_sent: datetime | None = None
         self.replication_round = 0
@@ -73,11 +81,11 @@
 
     @property
     def departed(self) -> bool:
-        """Whether it is leaving, idle, and another executor has its records."""
+        """Whether it is leaving, idle, and its records are replicated."""
         return self.leaving and self.idle and self.unreplicated == set()
 
 
 def load(state: ExecutorState) -> Load:
-    """Return the executor's load as it reports it; no slots while it takes none."""
+    """Return the executor's reported load, with no slots while it accepts no task."""
     slots = 0 if state.leaving or state.upstream_leaving else state.slots
     return Load(len(state.running), len(state.waiting), slots, state.mean_run)
--- a/gypsumspoke/core/task_starts.py
+++ b/gypsumspoke/core/task_starts.py
@@ -1,7 +1,7 @@
-"""Starting tasks, refusing them, and saying what became of them.
+"""Starts tasks, refuses them, and reports their outcomes.
 
-A started task is recorded before its body leaves. A try that was answered "not run" is
-marked, so that a copy of its message that arrives later can't start it.
+A start is recorded before the task's body is sent. An attempt that was answered "not
+run" is remembered as refused, so that a late or repeated message can't start it.
 """
 
 import logging
@@ -40,7 +40,7 @@
 def start_task(
     message: StartTask, sender: str, state: ExecutorState, now: datetime
 ) -> list[Effect]:
-    """Start a task, let it wait, or refuse it."""
+    """Start a task, queue it, or refuse it."""
     attempt = message.attempt
     effects = raise_epoch(state, message.partition, attempt.epoch)
     known = state.records.find(message.partition, attempt.key, attempt.task)
@@ -62,10 +62,10 @@
 def _refusal_reason(
     state: ExecutorState, message: StartTask, now: datetime
 ) -> RetryReason | None:
-    """Return why this try must not start, or None."""
+    """Return why this attempt must not start, or None."""
     attempt = message.attempt
     if not state.map_known:
-        # Without the map a replaced home's epoch can't be told from a current one.
+        # Without the map a stale epoch can't be recognized.
         return RetryReason.EXECUTOR_JOINING
     if attempt.epoch < state.epochs.get(message.partition, 0):
         return RetryReason.STALE_EPOCH
@@ -97,7 +97,7 @@
 
 
 def _start(state: ExecutorState, waiting: WaitingTask, now: datetime) -> list[Effect]:
-    """Record a start and only then let the body leave."""
+    """Record a start, then send the task to the upstream."""
     message = waiting.start
     attempt = message.attempt
     record = StartRecord(
@@ -126,7 +126,7 @@
 
 
 def start_waiting(state: ExecutorState, now: datetime) -> list[Effect]:
-    """Fill free slots from the queue; refuse what waited past its deadline."""
+    """Fill free slots from the queue; refuse tasks past their deadline."""
     effects: list[Effect] = []
     if state.pause_check.is_unverified:
         return effects
@@ -144,15 +144,15 @@
 def handle_upstream_answer(
     event: UpstreamAnswered, state: ExecutorState, now: datetime
 ) -> list[Effect]:
-    """Record the end of a task and tell its home."""
+    """Record the outcome of a task and report it to its home."""
     attempt = event.attempt
     running = state.running.pop(attempt, None)
     if running is None:
         return [Count(Counter.LATE_ANSWER_DROPPED)]
     run_time = now - running.since
     if event.outcome is Outcome.NOT_RUN:
-        # No byte reached the upstream: the task may start elsewhere, never here under
-        # this try.
+        # No byte reached the upstream: the task may start elsewhere, but this attempt
+        # must not start here again.
         state.records.forget(running.partition, attempt)
         state.refused.add(attempt, now + state.policy.retention)
     else:
@@ -160,7 +160,7 @@
         ended = _STATE_OF_OUTCOME[event.outcome]
         state.records.finish(running.partition, attempt, ended, result)
     if event.outcome is Outcome.DONE:
-        # A worker that fails every task fast must not look fast.
+        # Only successful tasks count, or a worker that fails fast would look fast.
         _update_mean_run(state, run_time)
     effects = start_waiting(state, now)
     outcome = TaskOutcome(
@@ -179,7 +179,7 @@
 def refuse(
     state: ExecutorState, message: StartTask, home: str, reason: RetryReason
 ) -> list[Effect]:
-    """Answer "not run" and see that it stays true."""
+    """Answer "not run" and make sure that the attempt never starts."""
     state.refused.add(message.attempt, message.deadline)
     effects: list[Effect] = [
         Count(reason),
@@ -200,7 +200,7 @@
 def _refuse_duplicate(
     state: ExecutorState, attempt: AttemptId, home: str
 ) -> list[Effect]:
-    """Refuse a task that another try has started; nothing is claimed about it."""
+    """Refuse a task that another attempt started, without a claim about that one."""
     reason = RetryReason.ALREADY_STARTED
     outcome = TaskOutcome(
         attempt, Outcome.UNKNOWN, b"", reason.value, load(state), None
@@ -223,7 +223,7 @@
 def _report_state(
     state: ExecutorState, partition: int, record: StartRecord, home: str
 ) -> list[Effect]:
-    """Tell a home how far a started task is; a running one reports to it later."""
+    """Report a started task to a home; the outcome of a running one follows later."""
     attempt = record.attempt
     if attempt in state.running:
         state.running[attempt] = state.running[attempt]._replace(home=home)
@@ -241,18 +241,18 @@
 def report_attempt(
     message: AskAttempt, sender: str, state: ExecutorState, now: datetime
 ) -> list[Effect]:
-    """Say what became of a try; one never seen never starts."""
+    """Report the state of an attempt; refuse it for good if it was never received."""
     attempt = message.attempt
     known = state.records.find(message.partition, attempt.key, attempt.task)
     if known is not None and known.attempt == attempt:
         return _report_state(state, message.partition, known, sender)
     if known is not None:
         return _refuse_duplicate(state, attempt, sender)
-    for place, waiting in enumerate(state.waiting):
+    for index, waiting in enumerate(state.waiting):
         if waiting.start.attempt == attempt:
-            state.waiting[place] = waiting._replace(home=sender)
+            state.waiting[index] = waiting._replace(home=sender)
             return [Send(sender, TaskRunning(attempt, load(state)))]
-    # The start message may still be under way: it must find the mark.
+    # The StartTask message may still be in transit and must be refused on arrival.
     state.refused.add(attempt, now + state.policy.retention)
     return [Send(sender, _not_run(state, attempt, RetryReason.NEVER_SEEN))]
 
@@ -260,7 +260,7 @@
 def cancel_task(
     message: CancelTask, sender: str, state: ExecutorState, now: datetime
 ) -> list[Effect]:
-    """Take a try out of the queue; one that started runs on."""
+    """Remove an attempt from the queue; one that has started runs on."""
     attempt = message.attempt
     known = state.records.find(message.partition, attempt.key, attempt.task)
     if known is not None:
@@ -283,16 +283,16 @@
 
 
 def refuse_all_waiting(state: ExecutorState) -> list[Effect]:
-    """Refuse waiting tasks so that their homes place them elsewhere at once."""
+    """Refuse all queued tasks, so that their homes place them elsewhere at once."""
     waiting = list(state.waiting)
     return refuse_waiting(state, waiting, RetryReason.EXECUTOR_LEAVING)
 
 
 def raise_epoch(state: ExecutorState, partition: int, epoch: int) -> list[Effect]:
-    """Refuse lower epochs from now on, also for tasks that still wait.
+    """Refuse lower epochs from now on, including queued tasks of the former home.
 
-    Without dropping the waiting ones a task of the former home would start after the
-    fence was acknowledged without it, and the new home could start it again.
+    A queued task that started after the fence was acknowledged without it could be
+    started a second time by the new home.
     """
     if epoch <= state.epochs.get(partition, 0):
         return []
