--- a/gypsumspoke/core/chunks.py
+++ b/gypsumspoke/core/chunks.py
@@ -1,7 +1,7 @@
-"""Cuts lists of records into parts that each fit one frame.
+"""Splits lists of records into chunks that each fit one frame.
 
-A message over the frame bound of ``wire`` is never sent, so a part that grew past it
-would keep a takeover or a leaving process waiting for good.
+A message over the maximum frame size of ``wire`` is never sent, so an oversized chunk
+would block a takeover or a graceful stop.
 """
 
 from collections.abc import Callable, Iterable
@@ -16,27 +16,27 @@
 def split_into_chunks(
     records: Iterable[_Record], bytes_of: Callable[[_Record], int]
 ) -> list[tuple[_Record, ...]]:
-    """Return the records in order, in parts bounded in number and in bytes.
+    """Return the records in order, in chunks bounded in number and in bytes.
 
     Args:
-      records: what is to be sent.
-      bytes_of: bytes of a record that are not bounded by a small constant.
+      records: the records.
+      bytes_of: returns the size of the variable part of a record.
 
     Returns:
-      Parts of at most ``CHUNK_RECORDS``. One is over ``CHUNK_BYTES`` only when its
-      single record is. No part when there is no record.
+      Chunks of at most ``MAX_CHUNK_RECORDS`` records and ``MAX_CHUNK_BYTES`` bytes,
+      except that a larger record forms a chunk of its own. Empty without records.
     """
-    parts: list[tuple[_Record, ...]] = []
-    part: list[_Record] = []
+    chunks: list[tuple[_Record, ...]] = []
+    chunk: list[_Record] = []
     total = 0
     for record in records:
         size = bytes_of(record)
-        is_full = len(part) == MAX_CHUNK_RECORDS or total + size > MAX_CHUNK_BYTES
-        if part and is_full:
-            parts.append(tuple(part))
-            part, total = [], 0
-        part.append(record)
+        is_full = len(chunk) == MAX_CHUNK_RECORDS or total + size > MAX_CHUNK_BYTES
+        if chunk and is_full:
+            chunks.append(tuple(chunk))
+            chunk, total = [], 0
+        chunk.append(record)
         total += size
-    if part:
-        parts.append(tuple(part))
-    return parts
+    if chunk:
+        chunks.append(tuple(chunk))
+    return chunks
--- a/gypsumspoke/core/record_replication.py
+++ b/gypsumspoke/core/record_replication.py
@@ -1,7 +1,7 @@
-"""Records of starts that one executor keeps for another.
+"""Replication of start records to other executors.
 
-Told when an executor leaves, and by homes about their own or a lost executor, so that
-the death of the one that held them makes no key unknown.
+An executor sends its records when it leaves; a home sends those of its own or of a lost
+executor. Without a second holder the loss of the first one would make keys unknown.
 """
 
 from datetime import datetime, timedelta
@@ -20,22 +20,22 @@
 def handle_remember(
     message: Remember, sender: str, state: ExecutorState, now: datetime
 ) -> list[Effect]:
-    """Keep records that another process tells."""
+    """Keep the records that another process sends."""
     if state.leaving:
-        # What is told to an executor that leaves may be gone before it tells on.
+        # They could be lost with this executor before it replicates them in turn.
         return []
     known = state.epochs.get(message.partition, 0)
     if message.epoch != OWN_RECORDS and message.epoch < known:
-        # A replaced home that woke up doesn't know what its successor placed on the
-        # executor that it tells on. Had the successor placed anything, it would have
-        # fenced this executor first.
+        # A replaced home that resumes doesn't know what its successor placed on the
+        # executor whose records it sends. The successor fences this executor before it
+        # places anything, so a stale epoch shows here.
         return [Count(Counter.REFUSED_BY_EPOCH)]
-    place = (message.partition, message.source)
-    parts = state.parts.setdefault(place, {})
+    set_id = (message.partition, message.source)
+    parts = state.partial_remembers.setdefault(set_id, {})
     parts[message.chunk] = message
     if len(parts) < message.chunks:
         return []
-    del state.parts[place]
+    del state.partial_remembers[set_id]
     for part in parts.values():
         _add_records(state, part)
     state.records.cover(message.partition, message.covers)
@@ -46,7 +46,7 @@
     state.records.raise_forgotten_before(part.forgotten_before)
     for record in part.started:
         if record.state is TaskState.RUNNING:
-            # It runs elsewhere; its end is not known here.
+            # It runs on another executor, whose outcome is not reported here.
             record = record._replace(state=TaskState.UNKNOWN)
         state.records.add(part.partition, record)
     for closed in part.closed:
@@ -56,17 +56,17 @@
 def handle_remember_ack(
     message: RememberAck, sender: str, state: ExecutorState, now: datetime
 ) -> list[Effect]:
-    """Note that another executor has the own records."""
+    """Record that another executor holds this one's records of a partition."""
     if message.source == state.incarnation and state.unreplicated is not None:
         state.unreplicated.discard(message.partition)
     return []
 
 
 def replicate_records(state: ExecutorState, now: datetime) -> list[Effect]:
-    """Give all records to another executor before leaving.
+    """Send all records to another executor before leaving.
 
-    Otherwise a home's later death would leave keys of which nobody knows whether
-    they ran, and their callers would be answered "unknown".
+    Otherwise, if a home is lost later, no process would know whether its keys ran, and
+    their callers would be answered "unknown".
     """
     if not state.leaving or not state.idle or state.unreplicated == set():
         return []
@@ -79,7 +79,7 @@
     if not targets:
         return []
     state.replication_sent = now
-    # The next round asks others: a target that leaves too does not answer.
+    # Each round uses other targets: one that is leaving too does not answer.
     state.replication_round += 1
     effects: list[Effect] = []
     for partition in sorted(state.unreplicated):
@@ -89,10 +89,11 @@
 
 
 def _partitions_to_replicate(state: ExecutorState) -> set[int]:
-    """Return the partitions of which another executor must know this one's starts.
+    """Return the partitions whose records must be replicated.
 
-    Also those without any: a home that finds no executor to speak for one that has left
-    can't know that it started nothing, and answers "unknown" for tasks that only wait.
+    They include partitions without any start: a home that finds no cover of an executor
+    that has left can't know that it started nothing, and would answer "unknown" for
+    tasks that were only queued.
     """
     partitions = set(state.records.partitions())
     if state.sidecars - {state.incarnation}:
--- a/gypsumspoke/core/refusals.py
+++ b/gypsumspoke/core/refusals.py
@@ -1,4 +1,4 @@
-"""Answers to requests that a process turns away itself."""
+"""Answers to requests that a process refuses itself."""
 
 from datetime import timedelta
 
@@ -9,12 +9,12 @@
 def refusal_answer(
     kind: ErrorKind, detail: str = "", retry_after: timedelta | None = None
 ) -> Answer:
-    """Return the answer to a request that was turned away and passed to nobody.
+    """Return the answer to a request that was refused and not forwarded.
 
     Args:
       kind: the reason.
-      detail: one sentence for a person.
-      retry_after: when to come back; by default as the table of answers says.
+      detail: one sentence for a human reader.
+      retry_after: delay before a retry; by default that of ``ANSWER_RULES``.
     """
     rule = ANSWER_RULES[kind]
     return Answer(
--- a/gypsumspoke/core/refused_attempts.py
+++ b/gypsumspoke/core/refused_attempts.py
@@ -1,9 +1,8 @@
-"""Tries that an executor has answered "not run", so that none starts later.
+"""Attempts that an executor has answered "not run", so that none starts later.
 
-A try's message may come again, or for the first time, after its home was told "not
-run" and placed the task elsewhere. Then the mark makes the executor refuse it. A mark
-is needed only until the try's deadline, after which nothing starts, so the marks of
-an overloaded executor don't pile up.
+The message of such an attempt may arrive late or twice, after its home has placed the
+task elsewhere; the executor must then refuse it. Nothing starts after an attempt's
+deadline, so entries expire then, which bounds their number on an overloaded executor.
 """
 
 import heapq
@@ -13,8 +12,8 @@
 from gypsumspoke.core.values import AttemptId, JobKey
 
 
-class _Mark(NamedTuple):
-    """The highest refused try of a task, and until when its mark is needed."""
+class _Refusal(NamedTuple):
+    """The highest refused attempt of a task, and when it expires."""
 
     epoch: int
     number: int
@@ -22,32 +21,32 @@
 
 
 class RefusedAttempts:
-    """The refused tries of one executor."""
+    """The refused attempts of one executor."""
 
     def __init__(self) -> None:
-        self._marks: dict[tuple[JobKey, int], _Mark] = {}
+        self._refusals: dict[tuple[JobKey, int], _Refusal] = {}
         self._expiry: list[tuple[datetime, JobKey, int]] = []
 
     def covers(self, attempt: AttemptId) -> bool:
-        """Return whether this try, or a later one of its task, was refused."""
-        mark = self._marks.get((attempt.key, attempt.task))
-        return mark is not None and (attempt.epoch, attempt.number) <= mark[:2]
+        """Return whether this attempt, or a later one of its task, was refused."""
+        refusal = self._refusals.get((attempt.key, attempt.task))
+        return refusal is not None and (attempt.epoch, attempt.number) <= refusal[:2]
 
     def add(self, attempt: AttemptId, until: datetime) -> None:
-        """Refuse this try, and lower ones of its task, until a time."""
-        place = (attempt.key, attempt.task)
-        known = self._marks.get(place)
+        """Refuse this attempt and earlier ones of its task until a time."""
+        task_id = (attempt.key, attempt.task)
+        known = self._refusals.get(task_id)
         epoch, number = attempt.epoch, attempt.number
         if known is not None:
             epoch, number = max(known[:2], (epoch, number))
             until = max(known.until, until)
-        self._marks[place] = _Mark(epoch, number, until)
-        heapq.heappush(self._expiry, (until, *place))
+        self._refusals[task_id] = _Refusal(epoch, number, until)
+        heapq.heappush(self._expiry, (until, *task_id))
 
     def expire(self, before: datetime) -> None:
-        """Drop the marks that were needed until a time before this one."""
+        """Drop the attempts whose expiry is before this time."""
         while self._expiry and self._expiry[0][0] < before:
             _, key, task = heapq.heappop(self._expiry)
-            mark = self._marks.get((key, task))
-            if mark is not None and mark.until < before:
-                del self._marks[key, task]
+            refusal = self._refusals.get((key, task))
+            if refusal is not None and refusal.until < before:
+                del self._refusals[key, task]
--- a/gypsumspoke/core/start_records.py
+++ b/gypsumspoke/core/start_records.py
@@ -1,14 +1,14 @@
-"""What one executor remembers of starts, by partition.
+"""One executor's records of started tasks, by partition.
 
-The records are the only proof that a task started, so they decide whether it may
-start again. They live in memory: every start is known to its executor and to the home
-that placed it, on another worker. A record is dropped only when its submission is
-older than the retention, since from then on the key itself is refused.
+The records are the only evidence that a task started, so they decide whether it may
+start again. They are kept in memory: every start is known to its executor and to the
+home that placed it, on another worker. A record is dropped only when its submission is
+older than the retention, because the key itself is refused from then on.
 
-``covers`` names other incarnations whose records of a partition also stand here; a
-new home needs it to tell "nothing was started" from "the record is lost". A name alone
-is of a process that starts nothing any more; ``name@epoch`` is of one that owned the
-partition under that epoch and counts only as long as no later home owned it.
+The covers of a partition name other incarnations whose records are also held here in
+full. A new home uses them to distinguish "nothing was started" from "the record is
+lost". A plain name is that of a process that starts nothing any more; ``name@epoch`` is
+a process that owned the partition under that epoch, valid until a later home owns it.
 """
 
 import heapq
@@ -28,7 +28,7 @@
     TaskState,
 )
 
-_COVER_MARK = "@"
+_COVER_SEPARATOR = "@"
 
 _STATE_RANK = {
     TaskState.UNKNOWN: 0,
@@ -39,9 +39,9 @@
 
 
 def supersedes(record: StartRecord, other: StartRecord) -> bool:
-    """Return whether ``record`` says more about a task than ``other`` does.
+    """Return whether ``record`` replaces ``other`` for the same task.
 
-    A later try means that the earlier one did not run after all: its executor said so
+    A later attempt implies that the earlier one did not run: its executor reported that
     to the home, which then placed the task again.
     """
     later = (record.attempt.epoch, record.attempt.number)
@@ -54,7 +54,7 @@
 
 
 class Chunk(NamedTuple):
-    """A part of a partition's records that fits one frame."""
+    """Some of a partition's records, few enough for one frame."""
 
     started: tuple[StartRecord, ...]
     closed: tuple[ClosedRecord, ...]
@@ -64,8 +64,8 @@
     """The records of one executor.
 
     Args:
-      incarnation: the executor's incarnation; it covers itself.
-      kept_bytes: most bytes of results that are kept.
+      incarnation: the executor's incarnation, always among the covers.
+      kept_bytes: maximum size of all kept results.
     """
 
     def __init__(self, incarnation: str, kept_bytes: int) -> None:
@@ -87,20 +87,20 @@
 
     @property
     def kept_bytes(self) -> int:
-        """Bytes of results held."""
+        """Size of all kept results in bytes."""
         return self._result_bytes
 
     @property
     def forgotten_before(self) -> datetime:
-        """Records of submissions born before this may have been dropped.
+        """Records of submissions with an earlier birth may have been dropped.
 
-        It never falls. A longer retention would else bring keys back whose records a
-        shorter one has dropped, and their resubmission would start a second time.
+        It never decreases: otherwise a longer retention would make keys valid again
+        whose records are gone, and a resubmission would start them a second time.
         """
         return self._forgotten_before
 
     def set_kept_bytes(self, limit: int) -> None:
-        """Change the bound on the bytes of results."""
+        """Change the maximum size of all kept results."""
         self._kept_bytes = limit
         self._drop_results()
 
@@ -113,11 +113,11 @@
         return self._started.get(partition, {}).get(key, {}).get(task)
 
     def is_closed(self, partition: int, key: JobKey) -> bool:
-        """Return whether nothing more of this job may start."""
+        """Return whether no further task of this job may start."""
         return key in self._closed.get(partition, {})
 
     def add(self, partition: int, record: StartRecord) -> None:
-        """Keep a record; of two for one task the one that knows more stays."""
+        """Add a record, unless the present one of the task supersedes it."""
         key = record.attempt.key
         tasks = self._started.setdefault(partition, {}).setdefault(key, {})
         if not tasks:
@@ -133,7 +133,7 @@
     def finish(
         self, partition: int, attempt: AttemptId, state: TaskState, result: bytes | None
     ) -> None:
-        """Set the end of a started task, if its record is still held."""
+        """Record the end of a started task, if its record is still held."""
         known = self.find(partition, attempt.key, attempt.task)
         if known is None or known.attempt != attempt:
             return
@@ -142,7 +142,7 @@
         self._record_result_size(partition, ended)
 
     def forget(self, partition: int, attempt: AttemptId) -> None:
-        """Drop the record of a try of which no byte reached the upstream."""
+        """Drop the record of an attempt of which no byte reached the upstream."""
         tasks = self._started.get(partition, {}).get(attempt.key, {})
         known = tasks.get(attempt.task)
         if known is not None and known.attempt == attempt:
@@ -150,34 +150,37 @@
             self._count -= 1
 
     def raise_forgotten_before(self, born_before: datetime) -> None:
-        """Note that records told by another executor were not complete before."""
+        """Apply another executor's ``forgotten_before`` to records taken from it."""
         self._forgotten_before = max(self._forgotten_before, born_before)
 
     def close(self, partition: int, record: ClosedRecord) -> None:
-        """Remember that nothing more of a job may start."""
+        """Refuse further starts of a job."""
         closed = self._closed.setdefault(partition, {})
         if record.key not in closed:
             closed[record.key] = record
             heapq.heappush(self._expiry, (record.birth, partition, record.key))
 
     def cover(self, partition: int, incarnations: Iterable[str]) -> None:
-        """Note whose records of a partition stand here in full."""
+        """Add incarnations whose records of a partition are held here in full."""
         self._covers.setdefault(partition, set()).update(incarnations)
 
     def covers(self, partition: int) -> tuple[str, ...]:
-        """Return whose records of a partition stand here in full, self included."""
+        """Return whose records of a partition are held in full, including its own."""
         return tuple(sorted({self._incarnation} | self._covers.get(partition, set())))
 
     def retain_covers(self, incarnations: Iterable[str]) -> None:
-        """Drop covers of all but these: rows stand until the retention is over."""
+        """Drop the covers of all other incarnations.
+
+        Their rows are deleted only after the retention, when no record matters.
+        """
         known = set(incarnations)
         for partition, covered in self._covers.items():
             self._covers[partition] = {
-                cover for cover in covered if cover.split(_COVER_MARK)[0] in known
+                cover for cover in covered if cover.split(_COVER_SEPARATOR)[0] in known
             }
 
     def expire(self, born_before: datetime) -> None:
-        """Drop everything about submissions born before a time."""
+        """Drop all records of submissions with a birth before this time."""
         self._forgotten_before = max(self._forgotten_before, born_before)
         while self._expiry and self._expiry[0][0] < born_before:
             _, partition, key = heapq.heappop(self._expiry)
@@ -188,7 +191,7 @@
             self._closed.get(partition, {}).pop(key, None)
 
     def chunks(self, partition: int) -> list[Chunk]:
-        """Return all records of a partition in parts that fit a frame; at least one."""
+        """Return all records of a partition in chunks; at least one."""
         started = [
             record
             for tasks in self._started.get(partition, {}).values()
@@ -197,15 +200,15 @@
         return chunk_records(started, list(self._closed.get(partition, {}).values()))
 
     def _record_result_size(self, partition: int, record: StartRecord) -> None:
-        place = (partition, record.attempt.key, record.attempt.task)
-        self._result_bytes -= self._results.pop(place, 0)
+        task_id = (partition, record.attempt.key, record.attempt.task)
+        self._result_bytes -= self._results.pop(task_id, 0)
         if record.result:
-            self._results[place] = len(record.result)
+            self._results[task_id] = len(record.result)
             self._result_bytes += len(record.result)
             self._drop_results()
 
     def _drop_results(self) -> None:
-        """Keep memory bounded: the oldest results go, the records of starts stay."""
+        """Drop the oldest results over the bound; their start records stay."""
         while self._result_bytes > self._kept_bytes:
             (partition, key, task), size = self._results.popitem(last=False)
             self._result_bytes -= size
@@ -216,7 +219,7 @@
 def chunk_records(
     started: list[StartRecord], closed: list[ClosedRecord]
 ) -> list[Chunk]:
-    """Split records into parts bounded in number and in bytes of results.
+    """Split records into chunks bounded in number and in bytes of results.
 
     Returns:
       At least one chunk, so that an empty partition is acknowledged too.
@@ -265,7 +268,7 @@
     covers: tuple[str, ...],
     forgotten_before: datetime,
 ) -> list[Remember]:
-    """Return the messages that give records of ``source`` to another executor."""
+    """Return the messages that replicate the records of ``source``."""
     chunks = chunk_records(started, closed)
     return [
         Remember(
@@ -284,9 +287,9 @@
 
 
 def expiry_bound(now: datetime, retention: timedelta, skew: timedelta) -> datetime:
-    """Return the birth before which nothing need be remembered.
+    """Return the birth before which records may be dropped.
 
-    A key older than the retention is refused by entry and home. Their clocks may
-    differ by ``skew`` from each other and from the caller's, hence twice.
+    Entry and home refuse keys older than the retention. Their clocks may differ by
+    ``skew`` from each other and from the caller's, hence twice.
     """
     return now - retention - 2 * skew
