--- a/gypsumspoke/core/fences.py
+++ b/gypsumspoke/core/fences.py
@@ -1,15 +1,15 @@
-"""Fences: what makes a new home the only one, and tells it what was started.
-
-An acknowledged fence is a promise to refuse lower epochs and brings the executor's
-records, so when all have answered, the new home knows every start. The former owner's
-executor is left out, since a home never places its own jobs' tasks there; what it held
-from earlier owners was told to another executor, which then says that it covers it.
-Where a record may be lost the partition is *lossy*: unknown keys born before are
-answered "unknown" and never run.
-
-An executor that leaves during the fencing may tell its records to one that has answered
-already. So when one has gone unheard the others are asked once more: it ended its row
-only after it had told.
+"""Fencing: excludes former homes of a partition and collects what they started.
+
+By acknowledging a fence an executor refuses lower epochs from then on, and returns its
+records. Once all have acknowledged, the new home knows every start. The executor beside
+the former owner is not required, because a home never places its own jobs' tasks there;
+the records that it held from earlier owners were replicated to another executor, which
+lists it among its covers. If records may be lost the partition is *lossy*: unknown keys
+with an earlier birth are answered "unknown" and never run.
+
+An executor that leaves during the fencing may replicate its records to one that has
+acknowledged already. So if one departs without an acknowledgement, the others are
+fenced once more; it has ended its registration only after its records were replicated.
 """
 
 from collections.abc import Iterable
@@ -42,13 +42,13 @@
 )
 
 FENCE_RESEND_DELAY = timedelta(milliseconds=500)
-# The first answers stand; what a second one could add is not worth a longer wait.
+# After it the first acknowledgements are used; the second ones only add records.
 SECOND_FENCE_TIMEOUT = timedelta(seconds=1)
 MEMBERS_REQUEST = REQUEST_PREFIX + "members"
 
 
 def read_members(ownership: Ownership, now: datetime) -> list[Effect]:
-    """Read the registrations after the claim is written, never before."""
+    """Read the registrations, which must follow the write of the claim."""
     ownership.phase = Phase.READING
     ownership.last_request = now
     return [ReadRows(request_id(MEMBERS_REQUEST, ownership), MEMBERS_PREFIX)]
@@ -60,9 +60,10 @@
     members: list[Member],
     now: datetime,
 ) -> list[Effect]:
+    """Fence all executors that may hold records of the partition."""
     ownership.phase = Phase.FENCING
-    # Rows that this process has not seen yet count too; ended ones are needed to
-    # tell which records may be lost.
+    # The read may hold rows that the view lacks; ended members are needed to determine
+    # which records may be lost.
     for member in members:
         state.members[member.incarnation] = member
     state.preferred.clear()
@@ -73,7 +74,7 @@
     }
     if ownership.replaced_row is not None and ownership.handed is None:
         ownership.required.discard(ownership.replaced_row.owner)
-    # The own executor is fenced like any other, so that it refuses lower epochs.
+    # This process's executor must refuse lower epochs, too.
     ownership.required.add(state.incarnation)
     return _send_fences(state, ownership, now)
 
@@ -85,7 +86,7 @@
     effects: list[Effect] = []
     fence = Fence(ownership.partition, ownership.epoch)
     due = ownership.required - (ownership.acknowledged - ownership.awaiting_second_ack)
-    # An answer of which a part has come is on its way; a second one would mix with it.
+    # Chunks of a second acknowledgement would mix with those of one in progress.
     for name in sorted(due - set(ownership.partial_acks)):
         effects += [Count(Counter.FENCE_SENT), Send(name, fence)]
     return effects
@@ -94,9 +95,10 @@
 def continue_fencing(
     state: TakeoverState, ownership: Ownership, now: datetime
 ) -> list[Effect]:
+    """Resend fences that are due, and finish when nothing more is required."""
     former = ownership.replaced_row
     if former is not None and is_silent(state, former.owner, now):
-        # A giver that died after its handoff is left out like any former owner.
+        # After a handoff the former owner is required until it falls silent.
         stop_waiting_for(ownership, {former.owner})
     finished = finish_if_fenced(state, ownership, now)
     if finished:
@@ -107,10 +109,10 @@
 
 
 def stop_waiting_for(ownership: Ownership, names: Iterable[str]) -> None:
-    """Wait no longer for executors that have ended or are not needed."""
-    left_out = ownership.required.intersection(names)
-    ownership.required -= left_out
-    ownership.departed |= left_out - (
+    """Stop waiting for executors that have ended or are not needed."""
+    dropped = ownership.required.intersection(names)
+    ownership.required -= dropped
+    ownership.departed |= dropped - (
         ownership.acknowledged - ownership.awaiting_second_ack
     )
 
@@ -137,25 +139,25 @@
 
 
 def complete_ack(parts: list[FenceAck], last: FenceAck) -> list[FenceAck]:
-    """Return the chunks of the answer that ``last`` belongs to, if all have come.
+    """Return the chunks of the acknowledgement with ``last``, or none if incomplete.
 
-    Two answers of which only the second speaks for another executor must not mix: the
-    cover would be taken for true without all of the records.
+    Chunks of two acknowledgements with different covers must not mix, because a cover
+    is valid only with all of the records that came with it.
     """
     kind = (last.chunks, last.covers)
-    answer = [part for part in parts if (part.chunks, part.covers) == kind]
-    is_whole = {part.chunk for part in answer} == set(range(last.chunks))
-    return answer if is_whole else []
+    ack = [part for part in parts if (part.chunks, part.covers) == kind]
+    is_complete = {part.chunk for part in ack} == set(range(last.chunks))
+    return ack if is_complete else []
 
 
 def handle_peer_lost(state: TakeoverState, incarnation: str) -> None:
-    """Forget the parts of an answer whose rest was lost with the connection."""
+    """Drop incomplete acknowledgements; their rest was lost with the connection."""
     for ownership in state.owned.values():
         ownership.partial_acks.pop(incarnation, None)
 
 
 def handle_fence_refused(state: TakeoverState, message: FenceRefused) -> list[Effect]:
-    """Give up a partition that a higher epoch owns."""
+    """Give up a partition that is owned under a higher epoch."""
     ownership = state.owned.get(message.partition)
     if ownership is None or message.highest <= ownership.epoch:
         return []
@@ -164,7 +166,7 @@
 
 
 def handle_stale_epoch(state: TakeoverState, attempt: AttemptId) -> None:
-    """Give up the partition of a start that was refused for its epoch."""
+    """Give up the partition of an attempt that was refused for its stale epoch."""
     partition = partition_of(attempt.key, state.partition_count)
     ownership = state.owned.get(partition)
     if ownership is not None and ownership.epoch == attempt.epoch:
@@ -174,12 +176,13 @@
 def finish_if_fenced(
     state: TakeoverState, ownership: Ownership, now: datetime
 ) -> list[Effect]:
+    """Serve the partition once all required acknowledgements are complete."""
     if ownership.required - ownership.acknowledged:
         return []
-    is_late = now - ownership.second_fence_sent >= SECOND_FENCE_TIMEOUT
-    if ownership.required & ownership.awaiting_second_ack and not is_late:
+    has_timed_out = now - ownership.second_fence_sent >= SECOND_FENCE_TIMEOUT
+    if ownership.required & ownership.awaiting_second_ack and not has_timed_out:
         return []
-    parts = [part for heard in ownership.acks.values() for part in heard]
+    parts = [part for acks in ownership.acks.values() for part in acks]
     ownership.uncovered = frozenset(_find_uncovered(state, ownership, parts, now))
     if ownership.uncovered and ownership.departed:
         return _fence_again(state, ownership, now)
@@ -194,14 +197,14 @@
 def _fence_again(
     state: TakeoverState, ownership: Ownership, now: datetime
 ) -> list[Effect]:
-    """Ask all executors once more what they were told by those that went."""
-    went = ",".join(sorted(ownership.departed))
+    """Fence all executors again to get the records of those that departed."""
+    departed = ",".join(sorted(ownership.departed))
     ownership.departed.clear()
     ownership.awaiting_second_ack = set(ownership.required)
     ownership.second_fence_sent = now
     return [
         Count(Counter.FENCED_AGAIN),
-        ownership_log("fences sent again", ownership, went=went),
+        ownership_log("fences sent again", ownership, went=departed),
         *_send_fences(state, ownership, now),
     ]
 
@@ -218,8 +221,8 @@
 ) -> Floor:
     handed = ownership.handed
     if handed is not None:
-        # The former owner said nothing after it handed its ledger over, so unknown
-        # keys are new ones.
+        # The former owner answered nothing after it handed its ledger over, so unknown
+        # keys are new.
         return Floor(ownership.epoch, 0, handed.born_before, handed.lossy_before)
     born_before = floor_birth(now, state.policy.clock_skew)
     lossy_before = born_before if lossy else None
@@ -255,8 +258,8 @@
 def owner_cover(incarnation: str, epoch: int) -> str:
     """Return the cover for an executor whose process owns the partition.
 
-    While it owns the partition it starts none of its tasks, so what it told on taking
-    over stays all that it holds, but only until another home owns it.
+    An executor starts no task of partitions that its own process owns, so the records
+    that it replicated on the takeover are complete until another home owns them.
     """
     return f"{incarnation}@{epoch}"
 
@@ -267,12 +270,12 @@
     parts: list[FenceAck],
     complete: bool,
 ) -> dict[JobKey, AdoptedJob]:
-    """Gather the started tasks of each job from all executors' records."""
+    """Collect the started tasks of each job from all executors' records."""
     adopted: dict[JobKey, AdoptedJob] = {}
     handed = ownership.handed.running if ownership.handed is not None else ()
-    for mark in handed:
-        adopted[mark.key] = AdoptedJob(
-            mark.birth, mark.submission_attempt, mark.digest, {}, complete
+    for running in handed:
+        adopted[running.key] = AdoptedJob(
+            running.birth, running.submission_attempt, running.digest, {}, complete
         )
     for part in parts:
         for record in part.started:
@@ -302,6 +305,7 @@
     closed: tuple[ClosedRecord, ...],
     now: datetime,
 ) -> list[Effect]:
+    """Serve the partition with the adopted and closed jobs."""
     ownership.phase = Phase.SERVING
     state.notices.append(
         PartitionServed(ownership.partition, adopted, closed, ownership.handed)
@@ -314,7 +318,7 @@
     effects: list[Effect] = [
         Count(Counter.TAKEOVER_FINISHED),
         Observe("takeover_seconds", seconds),
-        # Whose records may be lost decides what is answered "unknown" from now on.
+        # The uncovered executors explain later answers of "unknown".
         ownership_log(
             "partition served",
             ownership,
@@ -330,10 +334,10 @@
 def replicate_own_records(
     state: TakeoverState, ownership: Ownership, now: datetime
 ) -> list[Effect]:
-    """Give the own executor's records of the partition to another executor.
+    """Replicate this process's records of the partition to another executor.
 
-    They are starts that former owners placed here. If this process died now, home and
-    record would go together, and the next owner could not know of those starts.
+    Former owners placed these tasks here. If this process were lost now, both home and
+    records would be lost, and the next owner could not know of the starts.
     """
     if ownership.records_target and now - ownership.last_request < FENCE_RESEND_DELAY:
         return []
@@ -361,7 +365,7 @@
 
 
 def handle_remember_ack(state: TakeoverState, message: RememberAck) -> list[Effect]:
-    """Note that another executor holds the own executor's records."""
+    """Record that another executor holds this process's records."""
     ownership = state.owned.get(message.partition)
     if ownership is None:
         return []
