--- a/gypsumspoke/core/entry.py
+++ b/gypsumspoke/core/entry.py
@@ -1,11 +1,11 @@
-"""Takes callers' requests, passes each to the home of its key, hands the answer back.
-
-An entry keeps nothing that matters. The same submission may come through any other
-entry, so this one never says that work has not run: it knows only whether it passed
-*this* copy on. A copy is safe to send again, unchanged, because the home attaches it
-to the running job or answers from its ledger; so when a home is lost or moves, the
-entry sends the copy to the next owner instead of sending the caller away. It never
-changes the attempt number: that is the caller's consent to run after a "not run".
+"""Forwards callers' requests to the home of their key and returns the answers.
+
+An entry keeps no durable state. The same submission may arrive through any other entry,
+so this one never answers that work has not run: it knows only whether it forwarded
+*this* request. A request may be sent again unchanged, because the home attaches it to
+the running job or answers from its ledger; so when a home is lost or moves, the entry
+sends the request to the next owner instead of refusing it. It never changes the attempt
+number, which is the caller's consent to run after a "not run".
 """
 
 from collections.abc import Iterable
@@ -56,9 +56,9 @@
     """A caller submits a job.
 
     Attributes:
-      request: identity of the request in this process, never used twice.
-      submission: the checked job.
-      wait: False asks for JOB_RUNNING instead of the final answer.
+      request: identity of the request in this process, never reused.
+      submission: the validated job.
+      wait: False requests JOB_RUNNING instead of the final answer.
     """
 
     request: str
@@ -67,21 +67,21 @@
 
 
 class QueryArrived(NamedTuple):
-    """A caller asks what became of a key."""
+    """A caller requests the state of a job."""
 
     request: str
     key: JobKey
 
 
 class CancelArrived(NamedTuple):
-    """A caller asks to start nothing more of a key."""
+    """A caller cancels a job."""
 
     request: str
     key: JobKey
 
 
 class CallerLeft(NamedTuple):
-    """The caller of a request is gone; its job is not cancelled by that."""
+    """The caller of a request disconnected, which does not cancel its job."""
 
     request: str
 
@@ -92,13 +92,13 @@
     Args:
       member: this process.
       partition_count: number of partitions, the same in every process.
-      seed: for the spread of repeated sendings.
+      seed: for the jitter of resend delays.
     """
     return EntryState(member, partition_count, seed)
 
 
 def reduce(state: EntryState, event, now: datetime) -> list[Effect]:
-    """Apply one event; events that don't concern an entry have no effect.
+    """Apply one event; an entry ignores events that don't concern it.
 
     Args:
       state: changed in place.
@@ -106,18 +106,18 @@
       now: the time of the event.
 
     Returns:
-      What the process has to do.
+      What the shell must do, in order.
     """
     return _on(event, state, now)
 
 
 def set_clock_off(state: EntryState, off: bool) -> None:
-    """Set whether most peers contradict this process's clock."""
+    """Set whether this process's clock differs from most peers' clocks."""
     state.clock_off = off
 
 
 def is_ready(state: EntryState) -> bool:
-    """Return whether the entry takes new requests."""
+    """Return whether the entry accepts new requests."""
     return not (state.draining or state.clock_off or state.manifest is None)
 
 
@@ -132,7 +132,7 @@
 
 
 def give_up_all(state: EntryState, now: datetime) -> list[Effect]:
-    """Answer every waiting request because the process stops before they end."""
+    """Answer every waiting request because the process stops now."""
     effects: list[Effect] = []
     for request in list(state.waiting):
         effects += give_up(state, request, now, "the entry stops")
@@ -178,7 +178,7 @@
 def _on_caller_left(
     event: CallerLeft, state: EntryState, now: datetime
 ) -> list[Effect]:
-    # The copy still goes to the home: a caller that lost its connection comes back
+    # The request still goes to the home: a caller that lost its connection may return
     # for the answer, and must find the job there.
     waiting = state.waiting.get(event.request)
     if waiting is not None:
@@ -211,13 +211,13 @@
 
 
 # ---------------------------------------------------------------------------
-# What is known of homes, members and configuration
+# Homes, members and configuration
 
 
 @_on.register
 def _on_peer_lost(event: PeerLost, state: EntryState, now: datetime) -> list[Effect]:
-    # An answer under way on the lost connection will never come. The same home may be
-    # back in a moment on a new connection: PeerConnected sends the copy again.
+    # Answers on the lost connection never arrive. If the same home reconnects,
+    # PeerConnected sends the requests again.
     state.reachable -= {event.incarnation}
     effects: list[Effect] = []
     for waiting in list(state.waiting.values()):
@@ -322,12 +322,11 @@
 ) -> list[Effect]:
     waiting = state.waiting.get(message.request)
     if waiting is None or waiting.key != message.key:
-        # Late, or crossed with another request: handing it out would give a caller
-        # the answer to somebody else's job.
+        # Late, or for another request: it must not reach the wrong caller.
         return [Count(Counter.LATE_ANSWER_DROPPED)]
     if sender != waiting.home and message.answer.kind is not None:
-        # A former home no longer speaks for the key unless the job is complete; the
-        # copy is with the next home already.
+        # From a former home only the result of a complete job is valid; the request
+        # has been sent to the next home already.
         return [Count(Counter.LATE_ANSWER_DROPPED)]
     return take_answer(state, waiting, message.answer, now)
 
--- a/gypsumspoke/core/entry_role.py
+++ b/gypsumspoke/core/entry_role.py
@@ -1,8 +1,7 @@
-"""The reducer of an entry process: membership and entry side by side.
+"""The reducer of an entry process, composed of membership and entry.
 
-Each event goes to both; what one tells the other goes round as a local event. The stop
-is put together here: refuse new requests, answer the waiting ones, end the
-registration, exit.
+Each event goes to both, and they communicate through local events. A graceful stop
+refuses new requests, answers the waiting ones, ends the registration and exits.
 """
 
 from collections import deque
@@ -13,13 +12,12 @@
 from gypsumspoke.core.events import Drain
 from gypsumspoke.core.values import Member
 
-# The balancer looks at the readiness every second or so and sends callers until then;
-# the port stays open and answers them for as long.
+# The load balancer sends callers until its next readiness check.
 MIN_DRAIN_DURATION = timedelta(seconds=1)
 
 
 class EntryRoleState:
-    """All state of an entry process; made by ``new_entry_role``."""
+    """State of an entry process; created by ``new_entry_role``."""
 
     def __init__(
         self,
@@ -36,12 +34,12 @@
 
     @property
     def members(self) -> membership.MembershipState:
-        """The membership view, to be read only."""
+        """The membership view, read-only."""
         return self._members
 
     @property
     def requests(self) -> entry.EntryState:
-        """The requests, to be read only."""
+        """The state of the entry, read-only."""
         return self._requests
 
 
@@ -57,9 +55,9 @@
     Args:
       member: this process.
       partition_count: number of partitions, the same in every process.
-      seed: for choices that need chance.
-      parse_manifest: turns a manifest's text into a checked manifest.
-      drain_timeout: bound on a graceful stop.
+      seed: seed of random choices.
+      parse_manifest: parses and validates the text of a manifest.
+      drain_timeout: maximum duration of a graceful stop.
     """
     members = membership.new_membership(member, partition_count, seed, parse_manifest)
     requests = entry.new_entry(member, partition_count, seed)
@@ -75,7 +73,7 @@
       now: the time of the event.
 
     Returns:
-      What the process has to do; local events have been delivered already.
+      What the shell must do, in order; local events have been applied already.
     """
     effects = _reduce_both(state, event, now)
     if isinstance(event, Drain) or entry.is_draining(state.requests):
@@ -84,7 +82,7 @@
 
 
 def is_ready(state: EntryRoleState) -> bool:
-    """Return whether callers may be sent here."""
+    """Return whether the entry is registered and accepts requests."""
     registered = membership.is_registered(state.members)
     return registered and entry.is_ready(state.requests)
 
@@ -99,10 +97,10 @@
     events = deque([event])
     while events:
         current = events.popleft()
-        found = membership.reduce(state.members, current, now)
+        produced = membership.reduce(state.members, current, now)
         entry.set_clock_off(state.requests, membership.clock_is_off(state.members))
-        found += entry.reduce(state.requests, current, now)
-        for effect in found:
+        produced += entry.reduce(state.requests, current, now)
+        for effect in produced:
             if isinstance(effect, Local):
                 events.append(effect.event)
             else:
@@ -116,10 +114,10 @@
     if state._drain_started is None:
         state._drain_started = now
     effects: list[Effect] = []
-    passed = now - state._drain_started
-    if passed >= state._drain_timeout:
+    elapsed = now - state._drain_started
+    if elapsed >= state._drain_timeout:
         effects += entry.give_up_all(state.requests, now)
-    is_done = entry.waiting_count(state.requests) == 0 and passed >= MIN_DRAIN_DURATION
+    is_done = entry.waiting_count(state.requests) == 0 and elapsed >= MIN_DRAIN_DURATION
     if is_done and not state._leaving:
         state._leaving = True
         effects += membership.reduce(state.members, membership.Leave(), now)
--- a/gypsumspoke/core/entry_state.py
+++ b/gypsumspoke/core/entry_state.py
@@ -1,4 +1,4 @@
-"""What one entry knows: requests without an answer, and its view of the system."""
+"""State of one entry: requests without an answer, and its view of the system."""
 
 import random
 from datetime import datetime
@@ -11,20 +11,23 @@
 
 
 class PendingRequest:
-    """One copy on its way.
+    """A request that has not been answered yet.
 
     Args:
-      message: what goes to the home, the same on every sending.
+      message: the message for the home, identical in every retry.
       key: identity of the submission.
-      arrived: when the caller came.
+      arrived: when the request arrived.
       deadline: when the caller stops waiting.
 
     Attributes:
-      home: where the copy is now; empty while no home can be reached.
-      without_home_since: since when that is so.
-      turned_away_since: since when homes answer that they don't serve the key.
-      send_again_at: when the same copy is to be sent next, if planned.
+      home: the home that it was sent to; empty while none can be reached.
+      was_sent: whether it was ever sent to a home.
+      without_home_since: since when no home can be reached; None if one can.
+      not_served_since: since when homes answer that they don't serve the key.
+      resend_at: time of the next retry, if scheduled.
       reason: why the next sending is a retry.
+      last_refusal: the last answer of a home that does not serve the key.
+      caller_left: whether the caller disconnected, so that no answer is delivered.
       size: bytes of the tasks' bodies.
     """
 
@@ -53,11 +56,11 @@
 
 
 class EntryState:
-    """One entry's requests and view; made by ``new_entry``.
+    """One entry's requests and view; created by ``new_entry``.
 
     Attributes:
-      waiting: requests without an answer, by identity; their bodies are bounded in
-        ``waiting_bytes``.
+      waiting: requests without an answer, by identity.
+      waiting_bytes: total size of their bodies.
       entries: incarnations of all entries, this one included.
       teams, services: names in the manifest in force.
     """
