--- a/gypsumspoke/core/sidecar.py
+++ b/gypsumspoke/core/sidecar.py
@@ -1,13 +1,13 @@
-"""The sidecar's reducer: membership, home and executor on one loop.
+"""The sidecar's reducer, composed of membership, home and executor.
 
-An event goes to each of them in this order; a message that one sends to its own
-incarnation is handled at once without a connection. Leaving has an order too: the home
-hands its partitions over, the executor finishes and gives its records to another, and
-only then does membership end the registration, since from there on others count this
-process as gone with its memory.
+Each event goes to all of them; a message to the process's own incarnation is handled at
+once, without a connection. A graceful stop has an order: the home hands its partitions
+over, the executor finishes its tasks and replicates its records, and only then does
+membership end the registration, because other processes regard the memory of an ended
+incarnation as lost.
 
-Without a service in its settings it waits until the upstream announces itself. It
-registers only then: others read from its registration what it offers.
+Without a service in its settings the sidecar registers only after the upstream has
+announced itself, because the registration contains its service and slots.
 """
 
 from collections import deque
@@ -26,13 +26,13 @@
 
 
 class SidecarState:
-    """All that one sidecar knows.
+    """State of one sidecar.
 
     Args:
       member: this process.
       partition_count: number of partitions.
-      seed: for the choice of peers and executors.
-      parse_manifest: turns a manifest's text into a checked one.
+      seed: seed of the choice of peers and executors.
+      parse_manifest: parses and validates the text of a manifest.
     """
 
     def __init__(
@@ -53,17 +53,17 @@
 
     @property
     def is_draining(self) -> bool:
-        """Whether it is on its way out."""
+        """Whether a graceful stop has begun."""
         return self._draining_since is not None
 
     @property
     def member(self) -> Member:
-        """This process as it registers; service and slots as first announced."""
+        """This process as registered; service and slots as first announced."""
         return self._member
 
     @property
     def knows_upstream(self) -> bool:
-        """Whether settings or an announcement told the upstream's service."""
+        """Whether the upstream's service is known from settings or an announcement."""
         return bool(self._member.service)
 
     def _create_reducers(self, member: Member) -> None:
@@ -88,14 +88,14 @@
     Args:
       member: this process.
       partition_count: number of partitions, the same in every process.
-      seed: for the choice of peers and executors.
-      parse_manifest: turns a manifest's text into a checked one.
+      seed: seed of the choice of peers and executors.
+      parse_manifest: parses and validates the text of a manifest.
     """
     return SidecarState(member, partition_count, seed, parse_manifest)
 
 
 def is_ready(state: SidecarState) -> bool:
-    """Return whether it is registered and takes work."""
+    """Return whether it is registered and accepts work."""
     return membership.is_registered(state.membership) and not state.is_draining
 
 
@@ -116,22 +116,22 @@
     events = deque([event])
     while events:
         current = events.popleft()
-        # A Drain may also come from within: the own row was marked or ended.
+        # A Drain may also come from membership: the member's row was marked or ended.
         if isinstance(current, Drain) and state._draining_since is None:
             state._draining_since = now
         for effect in _reduce_one(state, current, now):
-            inner = _local_event(state, effect)
-            if inner is None:
+            local = _local_event(state, effect)
+            if local is None:
                 effects.append(effect)
             else:
-                events.append(inner)
+                events.append(local)
     if isinstance(event, Tick):
         effects += _continue_drain(state, now)
     return effects
 
 
 def _await_upstream(state: SidecarState, event: object) -> list[Effect]:
-    """Begin with the first announcement; until then there is nothing to finish."""
+    """Start at the first announcement; before it a Drain exits at once."""
     if isinstance(event, Drain):
         return [Exit()]
     if isinstance(event, UpstreamAnnounced) and not event.leaving:
@@ -144,14 +144,14 @@
     membership.set_load(state.membership, executor_state.load(state.executor))
     home.set_clock_is_off(state.home, membership.clock_is_off(state.membership))
     effects = membership.reduce(state.membership, event, now)
-    # The executor first: it must know of a higher epoch before the home acts on it.
+    # The executor must know of a higher epoch before the home acts on it.
     effects += executor.reduce(state.executor, event, now)
     effects += home.reduce(state.home, event, now)
     return effects
 
 
 def _local_event(state: SidecarState, effect: Effect) -> object | None:
-    """Return the event that an effect is for this same process, or None."""
+    """Return the event that an effect causes in this process, or None."""
     if isinstance(effect, Local):
         return effect.event
     if isinstance(effect, Send) and effect.to == state._incarnation:
@@ -176,6 +176,6 @@
 def _has_departed(state: SidecarState, now: datetime) -> bool:
     if not home.is_departed(state.home, now) or not state.executor.idle:
         return False
-    # Without any other executor the records can't be told; don't stay for ever.
-    late = now - state._draining_since >= REPLICATION_TIMEOUT
-    return state.executor.departed or late
+    # Without another executor the records can't be replicated.
+    has_timed_out = now - state._draining_since >= REPLICATION_TIMEOUT
+    return state.executor.departed or has_timed_out
