--- a/tests/core/entry_reducer.py
+++ b/tests/core/entry_reducer.py
@@ -1,4 +1,4 @@
-"""One entry with the effects of each event, for its tests."""
+"""Test harness: an entry reducer that records the effects of each event."""
 
 from datetime import datetime, timedelta, timezone
 
@@ -43,7 +43,7 @@
 
 
 class Entry:
-    """An entry reducer with the effects of each event."""
+    """An entry reducer; ``last`` holds the effects of the last event."""
 
     def __init__(self, owner="h1", reachable=("h1", "h2")):
         self.state = entry.new_entry(ENTRY, PARTITIONS, seed=1)
--- a/tests/core/system.py
+++ b/tests/core/system.py
@@ -1,7 +1,7 @@
-"""A small system of reducers for tests: virtual time, one table, a bag of messages.
+"""Test harness: a simulated system of reducers with virtual time and one table.
 
-Nothing here decides anything. Tests choose what is delivered, dropped or repeated, who
-is killed or paused, and read what the callers were told and what was started.
+Tests control which messages are delivered, dropped or repeated and which processes are
+killed or paused, and read the callers' answers and the started tasks.
 """
 
 import json
@@ -64,7 +64,7 @@
 
 
 class Table:
-    """The platform's table: rows with versions, compare-and-set, outages."""
+    """The platform's table: versioned rows, compare-and-set, outages."""
 
     def __init__(self):
         self.rows = {}
@@ -106,7 +106,7 @@
 
 
 class Flight(NamedTuple):
-    """A message on its way."""
+    """A message in transit."""
 
     sender: str
     to: str
@@ -114,7 +114,7 @@
 
 
 class Told(NamedTuple):
-    """An answer that a caller got, and when in the order of events."""
+    """An answer delivered to a caller, with its position in the order of events."""
 
     order: int
     key: JobKey
@@ -138,8 +138,8 @@
     Args:
       workers: number of workers to start.
       partitions: number of partitions.
-      seed: for choices of the system itself.
-      slots: tasks that each worker runs at once.
+      seed: seed of the system's own random choices.
+      slots: maximum number of concurrent tasks of each worker.
     """
 
     def __init__(self, workers=3, partitions=4, seed=0, slots=2):
@@ -195,13 +195,13 @@
             self._unlink(link)
 
     def pause(self, incarnation):
-        """Stop a process; its peers find it silent and drop the connections."""
+        """Suspend a process; its connections drop."""
         self.nodes[incarnation].paused = True
         for link in [link for link in self.links if incarnation in link]:
             self._unlink(link)
 
     def wake(self, incarnation):
-        """Let a process go on with what had reached it before the pause."""
+        """Resume a paused process, which first handles the events queued for it."""
         node = self.nodes[incarnation]
         node.paused = False
         backlog, node.backlog = node.backlog, []
@@ -218,7 +218,7 @@
             self.post(name, PeerLost(other))
 
     def cut(self, one, other):
-        """Let nothing pass between two processes, silently."""
+        """Drop all messages between two processes."""
         link = frozenset((one, other))
         self.cuts.add(link)
         if link in self.links:
@@ -263,7 +263,7 @@
         target = self.nodes.get(effect.to)
         reachable = target is not None and target.alive and not target.paused
         if not reachable or link in self.cuts:
-            # The dial fails, which the sender is told.
+            # The connection attempt fails, and the sender is notified.
             self.post(name, PeerLost(effect.to))
             return
         if link not in self.links:
@@ -298,7 +298,7 @@
                     self.post(name, event)
 
     def finish_one(self, name, attempt, outcome):
-        """End one task at an upstream; NOT_RUN means that nothing was sent to it."""
+        """Finish one task at an upstream; NOT_RUN means that nothing was sent to it."""
         node = self.nodes[name]
         body = node.running.pop(attempt)
         if outcome is Outcome.NOT_RUN:
@@ -312,7 +312,7 @@
         self.post(name, UpstreamAnswered(attempt, outcome, b"ok:" + body, ""))
 
     def lose_connection(self, link):
-        """Drop a connection with all that is on its way on it."""
+        """Drop a connection with all messages in transit on it."""
         self.flights = [
             flight
             for flight in self.flights
@@ -341,9 +341,9 @@
 
     # -- messages ---------------------------------------------------------------
 
-    def deliver(self, place=0):
-        """Deliver one message on its way."""
-        flight = self.flights.pop(place)
+    def deliver(self, index=0):
+        """Deliver one message in transit."""
+        flight = self.flights.pop(index)
         if isinstance(flight.message, JobAnswer):
             self._tell(flight.message)
             return
@@ -364,7 +364,7 @@
             if not self.flights:
                 return
             self.deliver()
-        raise AssertionError("messages don't come to rest")
+        raise AssertionError(f"messages still in transit after {limit} deliveries")
 
     def tick(self):
         self.now += STEP
@@ -372,7 +372,7 @@
             self.post(name, Tick())
 
     def run(self, seconds):
-        """Let time pass; everything is delivered and every upstream answers."""
+        """Advance the time; deliver all messages and finish all upstream tasks."""
         for _ in range(int(timedelta(seconds=seconds) / STEP)):
             self.tick()
             self.deliver_all()
@@ -401,7 +401,7 @@
         return json.loads(row.value)["owner"] if row else None
 
     def submit(self, submission, to=None, wait=True):
-        """Send a copy as an entry would; to the owner unless told otherwise."""
+        """Send a submission as an entry would, by default to the owner."""
         partition = partition_of(submission.key, self.partitions)
         request = f"r{len(self.requests)}"
         self.requests[request] = (submission.key, submission.attempt)
--- a/tests/core/test_chunks.py
+++ b/tests/core/test_chunks.py
@@ -1,4 +1,4 @@
-"""Cutting records into parts for frames."""
+"""Tests of splitting records into chunks."""
 
 from hypothesis import given, strategies as st
 
--- a/tests/core/test_entry.py
+++ b/tests/core/test_entry.py
@@ -1,4 +1,4 @@
-"""What an entry passes on, sends again, answers and refuses."""
+"""Tests of the entry: forwarding, retries, answers and refusals."""
 
 from gypsumspoke.core import entry
 from gypsumspoke.core.counters import Counter
@@ -26,7 +26,7 @@
     assert process.delivered() == [("r1", DONE)]
 
 
-def test_late_and_crossed_answers_are_dropped():
+def test_late_and_mismatched_answers_are_dropped():
     process = Entry()
     process.submit()
     process.answer(key=JobKey("pots", "other"))
@@ -38,11 +38,7 @@
 
 
 def test_a_former_home_may_only_bring_a_complete_answer():
-    """The partition moves while the caller waits, then the former home answers.
-
-    A refusal of the former home is stale: the next home has the copy already. A
-    complete answer is true whoever brings it.
-    """
+    """A refusal of the former home is stale; a result is valid from any home."""
     process = Entry()
     process.submit()
     process.own("h2")
--- a/tests/core/test_entry_role.py
+++ b/tests/core/test_entry_role.py
@@ -1,4 +1,4 @@
-"""Membership and entry as one process: joining, serving, stopping."""
+"""Tests of the entry process: joining, serving and stopping."""
 
 from datetime import timedelta
 
@@ -54,8 +54,8 @@
         effects = entry_role.reduce(self.state, event, self.now)
         for effect in list(effects):
             if isinstance(effect, ReadRows):
-                found = [r for k, r in self.rows.items() if k.startswith(effect.prefix)]
-                effects += self.event(RowsRead(effect.request, tuple(found)))
+                rows = [r for k, r in self.rows.items() if k.startswith(effect.prefix)]
+                effects += self.event(RowsRead(effect.request, tuple(rows)))
             if isinstance(effect, WriteRows):
                 self.revision += 1
                 for key, value in effect.writes:
@@ -84,11 +84,7 @@
 
 
 def test_a_stop_answers_the_waiting_caller_before_it_exits():
-    """The process is asked to stop while a caller waits for a job.
-
-    It refuses new requests, hands the answer over, ends its registration and only
-    then exits: nothing in flight is cut.
-    """
+    """A graceful stop must not drop a request that waits for its answer."""
     process = Process().joined()
     effects = process.event(CallerArrived("r1", SUBMISSION))
     assert isinstance(of(effects, Send)[-1].message, SubmitJob)
--- a/tests/core/test_errors.py
+++ b/tests/core/test_errors.py
@@ -1,4 +1,4 @@
-"""The table from error kind to answer."""
+"""Tests of the table from error kind to answer."""
 
 from gypsumspoke.core.errors import ANSWER_RULES, ErrorKind, Work
 
--- a/tests/core/test_executor.py
+++ b/tests/core/test_executor.py
@@ -1,4 +1,4 @@
-"""The executor alone: what an announcement of its upstream changes."""
+"""Tests of the executor: announcements of its upstream."""
 
 from datetime import datetime, timedelta, timezone
 
@@ -52,20 +52,15 @@
     ]
 
 
-def test_an_upstream_that_leaves_finishes_what_runs_and_gets_nothing_new():
-    """Nobody sees an error: waiting tasks run elsewhere, the running one ends here.
-
-    One task runs and one waits when the upstream says that it leaves. The waiting one
-    is given back as not run, a later one is refused, and the running one ends as
-    usual without a waiting one taking its slot.
-    """
+def test_a_leaving_upstream_finishes_running_tasks_and_gets_no_new_ones():
+    """A queued task must be refused as not run, so that it runs elsewhere."""
     state = new_executor()
     assert started(give(state, start("runs"))) == ["runs"]
     give(state, start("waits"))
-    (given_back,) = outcomes(executor.reduce(state, LEAVES, NOW))
-    assert given_back.attempt.key.key == "waits"
-    assert given_back.outcome is Outcome.NOT_RUN
-    assert given_back.load.slots == 0
+    (not_run,) = outcomes(executor.reduce(state, LEAVES, NOW))
+    assert not_run.attempt.key.key == "waits"
+    assert not_run.outcome is Outcome.NOT_RUN
+    assert not_run.load.slots == 0
     (refused,) = outcomes(give(state, start("later")))
     assert refused.reason == RetryReason.EXECUTOR_LEAVING.value
     ended = UpstreamAnswered(start("runs").attempt, Outcome.DONE, b"2", "")
@@ -74,7 +69,7 @@
     assert not started(effects)
 
 
-def test_a_try_given_back_never_starts_though_the_upstream_comes_again():
+def test_a_refused_attempt_never_starts_after_the_upstream_returns():
     state = new_executor()
     give(state, start("runs"))
     give(state, start("waits"))
@@ -85,7 +80,7 @@
     assert started(give(state, start("new"))) == ["new"]
 
 
-def test_more_slots_start_what_waits():
+def test_more_slots_start_queued_tasks():
     state = new_executor()
     give(state, start("runs"))
     give(state, start("waits"))
@@ -94,7 +89,7 @@
     assert executor_state.load(state).slots == 2
 
 
-def test_without_its_upstream_it_still_keeps_records_for_homes():
+def test_records_are_kept_while_the_upstream_leaves():
     state = new_executor()
     executor.reduce(state, LEAVES, NOW)
     assert len(give(state, CloseJob(3, 1, 7, ()))) == 1
--- a/tests/core/test_executor_starts.py
+++ b/tests/core/test_executor_starts.py
@@ -1,4 +1,4 @@
-"""An executor alone: what it starts, refuses and remembers."""
+"""Tests of the executor: starts, refusals and records."""
 
 from datetime import datetime, timedelta, timezone
 
@@ -67,7 +67,7 @@
 
 
 def test_nothing_starts_before_the_map_was_read():
-    """A joining executor can't tell a replaced home from a current one yet."""
+    """A joining executor can't distinguish a replaced home from a current one yet."""
     state = executor.new_executor("self", "estimate", 1)
     effects = receive(state, start_of(0))
     assert not starts(effects)
@@ -76,11 +76,7 @@
 
 
 def test_a_fence_drops_the_former_homes_waiting_tasks():
-    """A task waits for a slot when its home is replaced.
-
-    The fence is acknowledged without it, so the next home may start it elsewhere. When
-    the slot becomes free, it must not start here as well.
-    """
+    """A queued task is not acknowledged as started, so the next home may start it."""
     state = new_executor()
     receive(state, start_of(0))
     receive(state, start_of(1, number=2))
@@ -91,11 +87,8 @@
     assert not starts(executor.reduce(state, done, NOW))
 
 
-def test_a_try_said_never_seen_does_not_start_when_its_message_comes_late():
-    """A home asks about a try whose message is still under way on another connection.
-
-    It hears "not run" and places the task elsewhere; the late message finds the mark.
-    """
+def test_an_attempt_answered_never_seen_does_not_start_later():
+    """After "not run" the home places the task elsewhere, so it would start twice."""
     state = new_executor()
     start = start_of(0)
     (outcome,) = sent(receive(state, AskAttempt(start.attempt, PARTITION)), TaskOutcome)
@@ -103,7 +96,7 @@
     assert not starts(receive(state, start))
 
 
-def test_a_lower_epoch_is_refused_and_its_home_is_told_so():
+def test_a_lower_epoch_is_refused_with_the_highest_epoch():
     state = new_executor()
     receive(state, Fence(PARTITION, 5), sender="next")
     (outcome,) = sent(receive(state, start_of(0, epoch=4)), TaskOutcome)
@@ -113,7 +106,7 @@
     assert sent(receive(state, CloseJob(PARTITION, 4, 1, ())), FenceRefused)
 
 
-def test_a_try_of_which_no_byte_left_may_start_elsewhere_but_not_here_again():
+def test_an_attempt_of_which_no_byte_was_sent_may_start_elsewhere_but_not_here():
     state = new_executor()
     start = start_of(0)
     receive(state, start)
--- a/tests/core/test_fences.py
+++ b/tests/core/test_fences.py
@@ -1,4 +1,4 @@
-"""Answers to fences: several of one executor, and parts that never came in full."""
+"""Tests of fencing: repeated and incomplete acknowledgements."""
 
 from datetime import timedelta
 
@@ -48,7 +48,7 @@
 
 
 def _fencing(*others):
-    """Return a home that has fenced itself and others, and its ownership."""
+    """Return the state and ownership of a home that has fenced itself and others."""
     state = TakeoverState(_member(HOME), 4)
     former = PartitionRow(0, LEAVER, 1, START, 1)
     ownership = Ownership(0, 2, former, None, "", START)
@@ -64,11 +64,8 @@
     return notice
 
 
-def test_a_second_answer_that_came_in_part_takes_no_start_away():
-    """A task would start twice whose record stood in the part that had not come yet.
-
-    A fence was sent again before its answer came. The second answer is cut otherwise.
-    """
+def test_an_incomplete_second_acknowledgement_drops_no_start():
+    """A task whose record is in the missing chunk of a second one would start twice."""
     state, ownership = _fencing(OTHER, LATE)
     handle_fence_ack(state, _answer(OTHER, 0, 1, tasks=(0, 1)), START)
     handle_fence_ack(state, _answer(OTHER, 0, 2, tasks=(0,)), START)
@@ -78,10 +75,7 @@
 
 
 def test_a_cover_counts_only_with_all_records_that_came_with_it():
-    """A task that ran would count as never started if a cover came without its record.
-
-    An executor left unheard, the other is asked again, and half of its answer comes.
-    """
+    """With a cover but not its records, a task that ran would count as not started."""
     state, ownership = _fencing(OTHER, LATE)
     handle_fence_ack(state, _answer(OTHER, 0, 1), START)
     state.members[LATE] = _member(LATE, ended=START)
--- a/tests/core/test_safeguards.py
+++ b/tests/core/test_safeguards.py
@@ -1,8 +1,4 @@
-"""Each safeguard switched off: the history that it is for then breaks its promise.
-
-A test that passes proves little if it also passes without the mechanism. Here each
-mechanism is taken out, and the history that needs it must fail.
-"""
+"""Mutation tests: without a protective mechanism, the test that covers it must fail."""
 
 from datetime import datetime, timezone
 
@@ -29,34 +25,34 @@
 
 
 def _without_refusal(reason):
-    with_all = task_starts._refusal_reason
+    original = task_starts._refusal_reason
 
-    def refusal(state, message, now):
-        found = with_all(state, message, now)
+    def refusal_reason(state, message, now):
+        found = original(state, message, now)
         return None if found is reason else found
 
-    return refusal
+    return refusal_reason
 
 
-def _keep_waiting(state, partition, epoch):
+def _raise_epoch_only(state, partition, epoch):
     known = state.epochs.get(partition, 0)
     state.epochs[partition] = max(known, epoch)
     return []
 
 
-def _settle_unasked(state, confirmation, now):
+def _settle_unconfirmed(state, confirmation, now):
     state.confirmations.pop(confirmation.partition, None)
     return endings._settle(state, confirmation, confirmed=True, now=now)
 
 
-def _uncovered_but_for_the_former_owner(state, ownership, parts, now):
+def _find_uncovered_except_former_owner(state, ownership, parts, now):
     found = _FIND_UNCOVERED(state, ownership, parts, now)
     former = ownership.replaced_row
     return found - ({former.owner} if former is not None else set())
 
 
 class AnyEpoch(int):
-    """An epoch that every epoch equals, so that none is compared."""
+    """An epoch that equals every other one, which disables the comparison."""
 
     def __eq__(self, other):
         return True
@@ -69,7 +65,7 @@
 
 _FIND_UNCOVERED = fences._find_uncovered
 
-SWITCHED_OFF = [
+DISABLED_SAFEGUARDS = [
     pytest.param(
         task_starts,
         "_refusal_reason",
@@ -87,7 +83,7 @@
     pytest.param(
         epochs,
         "raise_epoch",
-        _keep_waiting,
+        _raise_epoch_only,
         starts.test_a_fence_drops_the_former_homes_waiting_tasks,
         id="a fence drops waiting tasks",
     ),
@@ -95,15 +91,15 @@
         refused_attempts.RefusedAttempts,
         "add",
         lambda self, attempt, until: None,
-        starts.test_a_try_said_never_seen_does_not_start_when_its_message_comes_late,
-        id="refused tries are marked",
+        starts.test_an_attempt_answered_never_seen_does_not_start_later,
+        id="refused attempts never start",
     ),
     pytest.param(
         pause_check.PauseCheck,
         "record_event",
         lambda self, now: [],
         histories.test_a_replaced_pair_that_wakes_starts_nothing,
-        id="a paused executor asks whether it still counts",
+        id="a paused executor checks its registration",
     ),
     pytest.param(
         fences,
@@ -129,7 +125,7 @@
     pytest.param(
         fences,
         "_find_uncovered",
-        _uncovered_but_for_the_former_owner,
+        _find_uncovered_except_former_owner,
         histories.test_a_death_before_the_records_were_told_makes_old_keys_unknown,
         id="the former owner's executor must be covered",
     ),
@@ -145,35 +141,35 @@
         "_is_covered",
         lambda inquiry: True,
         histories.test_a_task_whose_executor_died_is_not_tried_elsewhere,
-        id="no record is proof only where a record would stand",
+        id="a missing record is proof only with a cover",
     ),
     pytest.param(
         endings,
         "_ask_next",
-        _settle_unasked,
+        _settle_unconfirmed,
         histories.test_a_paused_home_that_wakes_does_not_say_not_run,
-        id="not run is confirmed before it is said",
+        id="not run is confirmed before it is answered",
     ),
     pytest.param(
         home.adoption,
         "send_lost_records",
         lambda state, lost, now: [],
         histories.test_a_home_tells_on_what_a_lost_executor_knew,
-        id="homes tell on what lost executors knew",
+        id="homes replicate the records of lost executors",
     ),
     pytest.param(
         record_replication,
         "OWN_RECORDS",
         AnyEpoch(),
         histories.test_a_replaced_home_does_not_tell_on_what_its_successor_placed,
-        id="only a current home tells on others",
+        id="only a current home replicates records of others",
     ),
     pytest.param(
         home.adoption,
         "forgotten_before",
         lambda state, ownership: LONG_AGO,
         histories.test_a_longer_retention_brings_no_forgotten_key_back,
-        id="what was forgotten stays expired",
+        id="keys without records stay expired",
     ),
     pytest.param(
         fences,
@@ -185,13 +181,11 @@
 ]
 
 
-@pytest.mark.parametrize("module, name, without, history", SWITCHED_OFF)
-def test_without_its_safeguard_the_history_breaks(
-    monkeypatch, module, name, without, history
-):
-    monkeypatch.setattr(module, name, without)
+@pytest.mark.parametrize("module, name, replacement, scenario", DISABLED_SAFEGUARDS)
+def test_fails_without_its_safeguard(monkeypatch, module, name, replacement, scenario):
+    monkeypatch.setattr(module, name, replacement)
     with pytest.raises((AssertionError, ValueError)):
-        history()
+        scenario()
 
 
 def test_the_modules_under_test_are_the_ones_in_use():
--- a/tests/core/test_sidecar.py
+++ b/tests/core/test_sidecar.py
@@ -1,4 +1,4 @@
-"""The sidecar as a whole: waiting for its upstream, leaving, and told to leave."""
+"""Tests of the sidecar: waiting for its upstream, and graceful stops."""
 
 from gypsumspoke.core import sidecar
 from gypsumspoke.core.counters import RetryReason
@@ -32,11 +32,9 @@
 
 
 def test_an_upstream_that_leaves_under_load_gets_nothing_more():
-    """Every caller gets its whole answer, and the leaving upstream no further task.
+    """Under load, no job fails and homes stop placing tasks at the leaving upstream.
 
-    Jobs are submitted all the time. One upstream says that it leaves; its sidecar
-    refuses at once and tells its load on the next heartbeats, so that after a second
-    homes don't even ask it. It goes on as a home: partitions keep their owners.
+    Its sidecar keeps its partitions.
     """
     system = settled_system()
     leaver = system.current("w0")
@@ -62,11 +60,7 @@
 
 
 def test_a_sidecar_whose_row_was_ended_by_another_leaves():
-    """The platform starts a second process for a worker whose first one still lives.
-
-    The second one ends the first one's row. The first one must not stay and serve: it
-    hands its partitions over and exits, and jobs go on being served.
-    """
+    """A process replaced by a second one for its worker must hand over and exit."""
     system = System(workers=4, partitions=4)
     system.run(3)
     ended = system.current("w1")
@@ -90,10 +84,7 @@
 
 
 def test_a_sidecar_leaves_while_the_table_is_down_and_cuts_no_job():
-    """The table is down when a sidecar is stopped, so nobody can take over from it.
-
-    It finishes what runs, sends new keys away without any claim, and then exits.
-    """
+    """Without a table nobody can take over: running jobs must end before the exit."""
     system = System(workers=4, partitions=1)
     system.run(3)
     system.hold_upstreams = True
