--- a/gypsumspoke/core/membership_view.py
+++ b/gypsumspoke/core/membership_view.py
@@ -1,7 +1,7 @@
-"""Takes in what the table says: members, partition map and manifest.
+"""Applies member, partition and manifest rows read from the table.
 
-Rows only ever replace older ones, by the table's version, since reads overlap and
-answers may arrive late or crossed.
+Partition rows and manifests only replace lower versions, because answers to
+overlapping reads may arrive out of order.
 """
 
 import logging
@@ -17,11 +17,11 @@
     MembersChanged,
     PartitionsChanged,
 )
-from gypsumspoke.core.heartbeats import drop_ended_peers, heartbeat_soon
+from gypsumspoke.core.heartbeats import drop_ended_peers, expedite_heartbeat
 from gypsumspoke.core.membership_state import MembershipState, Phase
 from gypsumspoke.core.registration import (
+    confirm_registration,
     continue_leaving,
-    registered_by_read_back,
     write_registration,
 )
 from gypsumspoke.core.rows import (
@@ -31,14 +31,18 @@
     member_from_row,
     partition_from_row,
 )
-from gypsumspoke.core.table_reads import issue_reads, read_again, want
+from gypsumspoke.core.table_reads import (
+    issue_reads,
+    schedule_periodic_read,
+    schedule_read,
+)
 from gypsumspoke.core.values import Member, PartitionRow, Row
 
 
-def read_members(
+def apply_member_rows(
     state: MembershipState, rows: tuple[Row, ...], now: datetime
 ) -> list[Effect]:
-    """Take the member rows, and go on with the own registration by them."""
+    """Apply the member rows and continue this process's registration."""
     changed, effects = _replace_members(state, rows)
     own = state.member.incarnation in state.members
     if state.phase is Phase.LEAVING:
@@ -46,21 +50,21 @@
     if state.phase is Phase.NEW:
         if not own:
             return effects + write_registration(state, now)
-        effects += registered_by_read_back(state, now)
+        effects += confirm_registration(state, now)
         changed = True
     if state.phase is not Phase.REGISTERED:
         return effects
     if not state.map_readable:
         state.map_readable = True
         changed = True
-        want(state, PARTITIONS_PREFIX, now)
-        want(state, MANIFEST_KEY, now)
+        schedule_read(state, PARTITIONS_PREFIX, now)
+        schedule_read(state, MANIFEST_KEY, now)
     if changed:
-        heartbeat_soon(state, now)
+        expedite_heartbeat(state, now)
         effects.append(Local(MembersChanged(state.all_members())))
         effects += drop_ended_peers(state)
-    effects += _notice_own_row(state, now)
-    read_again(state, MEMBERS_PREFIX, now)
+    effects += _check_own_row(state, now)
+    schedule_periodic_read(state, MEMBERS_PREFIX, now)
     return effects + issue_reads(state, now)
 
 
@@ -88,12 +92,11 @@
     return changed, effects
 
 
-def _notice_own_row(state: MembershipState, now: datetime) -> list[Effect]:
-    """Drain when an operator asks for it, or when others take this process for gone.
+def _check_own_row(state: MembershipState, now: datetime) -> list[Effect]:
+    """Drain when an operator asks for it, or when this incarnation was ended.
 
-    Others no longer wait for an ended incarnation's fence acknowledgements, so work
-    that it took on would be unknown to the next home and could start twice. It takes
-    nothing new from here on.
+    New homes don't wait for fence acknowledgements of ended incarnations. A task that
+    this process started from now on would be unknown to them and could start twice.
     """
     own = state.members.get(state.member.incarnation)
     ended = own is None or own.ended is not None
@@ -108,14 +111,14 @@
 
 def _start_draining(state: MembershipState, now: datetime) -> list[Effect]:
     state.draining = True
-    heartbeat_soon(state, now)
+    expedite_heartbeat(state, now)
     return [Local(Drain())]
 
 
-def read_partitions(
+def apply_partition_rows(
     state: MembershipState, rows: tuple[Row, ...], now: datetime
 ) -> list[Effect]:
-    """Take the rows of the partition map and tell those that changed."""
+    """Apply the rows of the partition map and publish those that changed."""
     effects: list[Effect] = []
     found: list[PartitionRow] = []
     for row in rows:
@@ -125,14 +128,14 @@
             effects.append(
                 Log(logging.ERROR, "bad partition row", fields=(("error", str(error)),))
             )
-    read_again(state, PARTITIONS_PREFIX, now)
+    schedule_periodic_read(state, PARTITIONS_PREFIX, now)
     changed = merge_partitions(state, tuple(found))
     is_first = not state.map_read
     state.map_read = True
     if changed:
-        heartbeat_soon(state, now)
+        expedite_heartbeat(state, now)
     if changed or is_first:
-        # Executors refuse all starts until the map was read, be it empty.
+        # Executors refuse all starts until the map has been read, even an empty one.
         effects.append(Local(PartitionsChanged(changed)))
     return effects
 
@@ -140,7 +143,7 @@
 def merge_partitions(
     state: MembershipState, rows: tuple[PartitionRow, ...]
 ) -> tuple[PartitionRow, ...]:
-    """Keep the newer row of each partition and return those that changed."""
+    """Keep the newer row of each partition and return the rows that changed."""
     changed = []
     for row in rows:
         if not 0 <= row.partition < state.partition_count:
@@ -153,24 +156,23 @@
     return tuple(changed)
 
 
-def read_manifest(
+def apply_manifest_rows(
     state: MembershipState, rows: tuple[Row, ...], now: datetime
 ) -> list[Effect]:
-    """Take the manifest's row, if there is one yet."""
-    read_again(state, MANIFEST_KEY, now)
+    """Apply the manifest's row, if there is one."""
+    schedule_periodic_read(state, MANIFEST_KEY, now)
     for row in rows:
         if row.key == MANIFEST_KEY and row.value is not None:
-            return take_manifest(state, row.version, row.value, now)
+            return apply_manifest(state, row.version, row.value, now)
     return []
 
 
-def take_manifest(
+def apply_manifest(
     state: MembershipState, version: int, text: str, now: datetime
 ) -> list[Effect]:
-    """Put a manifest in force if it is newer.
+    """Put a manifest in force if its version is higher than the current one.
 
-    A late read or a peer that lags would otherwise bring an older version back, and
-    the configuration in force would fall; only a higher version is ever taken.
+    Otherwise a delayed read or an outdated peer could revert the configuration.
     """
     if version <= max(state.manifest_version, state.rejected_manifest):
         return []
@@ -182,7 +184,7 @@
     state.manifest = result.unwrap()
     state.manifest_text = text
     state.manifest_version = version
-    heartbeat_soon(state, now)
+    expedite_heartbeat(state, now)
     return [
         ApplyManifest(version, text),
         Count(Counter.MANIFEST_APPLIED),
--- a/gypsumspoke/core/registration.py
+++ b/gypsumspoke/core/registration.py
@@ -1,7 +1,7 @@
-"""The registration of one process: written at its start, ended when it leaves.
+"""Registration of one process: written at its start, ended when it leaves.
 
-A write whose answer was lost is never guessed about: the members are read back, and
-the own row tells whether it took effect.
+After a write whose answer was lost the members are read back: this process's own row
+shows whether the write took effect.
 """
 
 import logging
@@ -12,32 +12,37 @@
 from gypsumspoke.core.events import WriteOutcome
 from gypsumspoke.core.membership_state import MembershipState, Phase
 from gypsumspoke.core.rows import MEMBERS_PREFIX, member_key, member_value
-from gypsumspoke.core.table_reads import issue_reads, new_request, retry_later, want
+from gypsumspoke.core.table_reads import (
+    issue_reads,
+    new_request,
+    schedule_read,
+    schedule_retry,
+)
 from gypsumspoke.core.values import MAX_RETENTION
 
-TABLE_ANSWER_WITHIN = timedelta(seconds=15)
-CLEANING_INTERVAL = timedelta(seconds=10)
-SKEWS_BEFORE_CLEANING = 10
-LEAVE_WITHIN = timedelta(seconds=3)
+TABLE_ANSWER_TIMEOUT = timedelta(seconds=15)
+DELETION_INTERVAL = timedelta(seconds=10)
+DELETION_MARGIN_SKEWS = 10
+LEAVE_TIMEOUT = timedelta(seconds=3)
 
 
-def abandon_overdue(state: MembershipState, now: datetime) -> list[Effect]:
-    """Give up on table requests that nobody answers any more."""
-    limit = now - TABLE_ANSWER_WITHIN
+def expire_table_requests(state: MembershipState, now: datetime) -> list[Effect]:
+    """Treat table requests without an answer for ``TABLE_ANSWER_TIMEOUT`` as failed."""
+    limit = now - TABLE_ANSWER_TIMEOUT
     for prefix, pending in list(state.reads.items()):
         if pending.sent < limit:
             del state.reads[prefix]
-            retry_later(state, prefix, now)
-    if state.cleaning and state.cleaning.sent < limit:
-        state.cleaning = None
+            schedule_retry(state, prefix, now)
+    if state.deletion and state.deletion.sent < limit:
+        state.deletion = None
     if state.write and state.write.sent < limit:
         state.write = None
-        return not_written(state, WriteOutcome.LOST, now)
+        return handle_write_failed(state, WriteOutcome.LOST, now)
     return []
 
 
 def write_registration(state: MembershipState, now: datetime) -> list[Effect]:
-    """Register, and end every earlier incarnation of this worker, at once."""
+    """Register and end all earlier incarnations of this worker in one transaction."""
     state.phase = Phase.REGISTERING
     state.member = state.member._replace(registered=now)
     own_key = member_key(state.member.incarnation)
@@ -53,7 +58,7 @@
 
 
 def begin_leaving(state: MembershipState, now: datetime) -> list[Effect]:
-    """End the own registration, if there is one, within ``LEAVE_WITHIN``."""
+    """End this process's registration, if any, within ``LEAVE_TIMEOUT``."""
     if state.phase in (Phase.LEAVING, Phase.LEFT):
         return []
     if state.phase is Phase.NEW or state.own_ended:
@@ -61,9 +66,9 @@
         return []
     state.phase = Phase.LEAVING
     state.write = None
-    state.leave_deadline = now + LEAVE_WITHIN
+    state.leave_deadline = now + LEAVE_TIMEOUT
     if state.own_row is None:
-        want(state, MEMBERS_PREFIX, now)
+        schedule_read(state, MEMBERS_PREFIX, now)
         return issue_reads(state, now)
     return _write_leave(state, now)
 
@@ -81,33 +86,33 @@
     ]
 
 
-def written(state: MembershipState, now: datetime) -> list[Effect]:
-    """Go on after the registration, or its end, was written."""
+def handle_write_committed(state: MembershipState, now: datetime) -> list[Effect]:
+    """Continue after the registration, or its end, was written."""
     if state.phase is Phase.LEAVING:
         state.phase = Phase.LEFT
         return []
     return _registered(state, now)
 
 
-def not_written(
+def handle_write_failed(
     state: MembershipState, outcome: WriteOutcome, now: datetime
 ) -> list[Effect]:
-    """Read back: a lost answer may hide a write that took effect.
+    """Schedule a read of the members after a conflict or a lost answer.
 
-    The next read of the members shows the own row if it did, and the versions to
-    check if it did not.
+    A write whose answer was lost may have taken effect. The read shows whether it did,
+    and if not, the row versions for another attempt.
     """
     if state.phase is Phase.REGISTERING:
         state.phase = Phase.NEW
     lost = outcome is WriteOutcome.LOST
-    retry_later(state, MEMBERS_PREFIX, now)
+    schedule_retry(state, MEMBERS_PREFIX, now)
     reason = RetryReason.TABLE_ANSWER_LOST if lost else RetryReason.TABLE_CONFLICT
     return [Count(reason)]
 
 
 def _registered(state: MembershipState, now: datetime) -> list[Effect]:
     state.phase = Phase.REGISTERED
-    want(state, MEMBERS_PREFIX, now)
+    schedule_read(state, MEMBERS_PREFIX, now)
     log = Log(
         logging.INFO,
         "registered",
@@ -116,30 +121,30 @@
     return [log, *issue_reads(state, now)]
 
 
-def leave_in_time(state: MembershipState, now: datetime) -> list[Effect]:
-    """Leave unregistered when the table is down, so that it can't hold the stop up."""
+def leave_on_timeout(state: MembershipState, now: datetime) -> list[Effect]:
+    """Leave without ending the registration when the table doesn't answer in time."""
     if state.phase is not Phase.LEAVING or now < state.leave_deadline:
         return []
     state.phase = Phase.LEFT
     return [Log(logging.WARNING, "left without ending the registration")]
 
 
-def clean(state: MembershipState, now: datetime) -> list[Effect]:
-    """Delete one row that ended so long ago that nothing refers to it any more.
+def delete_ended_row(state: MembershipState, now: datetime) -> list[Effect]:
+    """Delete one member row that ended too long ago for any record to refer to it.
 
-    Each process tries with a chance of one in the number of processes, so that about
-    one of them does it in each interval, whatever their number.
+    Each process does so with probability 1/n for n live processes, so that on average
+    one row is deleted per interval.
     """
-    if state.phase is not Phase.REGISTERED or state.cleaning:
+    if state.phase is not Phase.REGISTERED or state.deletion:
         return []
-    if state.next_cleaning is None:
-        state.next_cleaning = now + CLEANING_INTERVAL
-    if now < state.next_cleaning:
+    if state.next_deletion is None:
+        state.next_deletion = now + DELETION_INTERVAL
+    if now < state.next_deletion:
         return []
-    state.next_cleaning = now + CLEANING_INTERVAL
-    # The longest retention that a manifest may set, not the one in force: a longer one
-    # set later would make rows matter again that a shorter one let go.
-    limit = now - MAX_RETENTION - SKEWS_BEFORE_CLEANING * state.policy.clock_skew
+    state.next_deletion = now + DELETION_INTERVAL
+    # MAX_RETENTION rather than the retention in force: a later manifest may lengthen
+    # the retention, and older rows would be needed again.
+    limit = now - MAX_RETENTION - DELETION_MARGIN_SKEWS * state.policy.clock_skew
     old = [
         state.member_rows[incarnation]
         for incarnation, member in sorted(state.members.items())
@@ -149,21 +154,21 @@
     if not old or state.random.random() * max(live, 1) >= 1:
         return []
     row = state.random.choice(old)
-    state.cleaning = new_request(state, "clean", now)
-    want(state, MEMBERS_PREFIX, now + CLEANING_INTERVAL / 2)
+    state.deletion = new_request(state, "clean", now)
+    schedule_read(state, MEMBERS_PREFIX, now + DELETION_INTERVAL / 2)
     return [
-        WriteRows(state.cleaning.request, ((row.key, row.version),), ((row.key, None),))
+        WriteRows(state.deletion.request, ((row.key, row.version),), ((row.key, None),))
     ]
 
 
-def registered_by_read_back(state: MembershipState, now: datetime) -> list[Effect]:
-    """The answer to the registration was lost but the write took effect."""
+def confirm_registration(state: MembershipState, now: datetime) -> list[Effect]:
+    """Continue as registered: the write's answer was lost, but it took effect."""
     state.phase = Phase.REGISTERED
     return [Log(logging.INFO, "registration found by reading back")]
 
 
 def continue_leaving(state: MembershipState, now: datetime) -> list[Effect]:
-    """Write the end again, with the version just read, unless it stands there."""
+    """Write the end again with the version just read, unless the row has ended."""
     own = state.members.get(state.member.incarnation)
     if own is None or own.ended:
         state.phase = Phase.LEFT
--- a/tests/core/system.py
+++ b/tests/core/system.py
@@ -105,7 +105,7 @@
         self.offset = timedelta(0)
 
 
-class Flight(NamedTuple):
+class Envelope(NamedTuple):
     """A message in transit."""
 
     sender: str
@@ -113,7 +113,7 @@
     message: object
 
 
-class Told(NamedTuple):
+class DeliveredAnswer(NamedTuple):
     """An answer delivered to a caller, with its position in the order of events."""
 
     order: int
@@ -150,11 +150,11 @@
         self.table = Table()
         self.table.write((), ((MANIFEST_KEY, json.dumps({})),))
         self.nodes = {}
-        self.flights = []
+        self.in_transit = []
         self.links = set()
         self.cuts = set()
         self.is_lost = lambda message: False
-        self.told = []
+        self.delivered = []
         self.started = []
         self.counts = Tally()
         self.requests = {}
@@ -200,7 +200,7 @@
         for link in [link for link in self.links if incarnation in link]:
             self._unlink(link)
 
-    def wake(self, incarnation):
+    def resume(self, incarnation):
         """Resume a paused process, which first handles the events queued for it."""
         node = self.nodes[incarnation]
         node.paused = False
@@ -224,7 +224,7 @@
         if link in self.links:
             self._unlink(link)
 
-    def heal(self):
+    def restore_links(self):
         self.cuts.clear()
 
     # -- events ---------------------------------------------------------------
@@ -257,7 +257,7 @@
 
     def _send(self, name, effect):
         if isinstance(effect.message, JobAnswer):
-            self.flights.append(Flight(name, effect.to, effect.message))
+            self.in_transit.append(Envelope(name, effect.to, effect.message))
             return
         link = frozenset((name, effect.to))
         target = self.nodes.get(effect.to)
@@ -270,7 +270,7 @@
             self.links.add(link)
             self.post(name, PeerConnected(effect.to))
             self.post(effect.to, PeerConnected(name))
-        self.flights.append(Flight(name, effect.to, effect.message))
+        self.in_transit.append(Envelope(name, effect.to, effect.message))
 
     def _start(self, node, effect):
         self.order += 1
@@ -311,13 +311,13 @@
             ]
         self.post(name, UpstreamAnswered(attempt, outcome, b"ok:" + body, ""))
 
-    def lose_connection(self, link):
+    def drop_connection(self, link):
         """Drop a connection with all messages in transit on it."""
-        self.flights = [
-            flight
-            for flight in self.flights
-            if isinstance(flight.message, JobAnswer)
-            or frozenset((flight.sender, flight.to)) != link
+        self.in_transit = [
+            envelope
+            for envelope in self.in_transit
+            if isinstance(envelope.message, JobAnswer)
+            or frozenset((envelope.sender, envelope.to)) != link
         ]
         self._unlink(link)
 
@@ -343,25 +343,25 @@
 
     def deliver(self, index=0):
         """Deliver one message in transit."""
-        flight = self.flights.pop(index)
-        if isinstance(flight.message, JobAnswer):
-            self._tell(flight.message)
+        envelope = self.in_transit.pop(index)
+        if isinstance(envelope.message, JobAnswer):
+            self._deliver_answer(envelope.message)
             return
-        if frozenset((flight.sender, flight.to)) in self.cuts:
+        if frozenset((envelope.sender, envelope.to)) in self.cuts:
             return
-        if self.is_lost(flight.message):
+        if self.is_lost(envelope.message):
             return
-        self.post(flight.to, Received(flight.sender, flight.message))
+        self.post(envelope.to, Received(envelope.sender, envelope.message))
 
-    def _tell(self, message):
+    def _deliver_answer(self, message):
         key, attempt = self.requests[message.request]
         assert message.key == key, "an answer reached another caller"
         self.order += 1
-        self.told.append(Told(self.order, key, attempt, message.answer))
+        self.delivered.append(DeliveredAnswer(self.order, key, attempt, message.answer))
 
     def deliver_all(self, limit=20_000):
         for _ in range(limit):
-            if not self.flights:
+            if not self.in_transit:
                 return
             self.deliver()
         raise AssertionError(f"messages still in transit after {limit} deliveries")
@@ -408,7 +408,7 @@
         message = SubmitJob(request, partition, submission, wait)
         target = to or self.owner(submission.key)
         if target is not None:
-            self.flights.append(Flight("entry", target, message))
+            self.in_transit.append(Envelope("entry", target, message))
         return request
 
     def cancel(self, key, to=None):
@@ -416,10 +416,10 @@
         request = f"r{len(self.requests)}"
         self.requests[request] = (key, -1)
         message = CancelJob(request, partition, key)
-        self.flights.append(Flight("entry", to or self.owner(key), message))
+        self.in_transit.append(Envelope("entry", to or self.owner(key), message))
 
     def answers(self, key):
-        return [told.answer for told in self.told if told.key == key]
+        return [told.answer for told in self.delivered if told.key == key]
 
     def starts(self, key):
         return Tally(start.task for start in self.started if start.key == key)
--- a/tests/core/test_home.py
+++ b/tests/core/test_home.py
@@ -124,7 +124,7 @@
     former = system.owner(submission.key)
     system.pause(former)
     system.run(3)
-    system.wake(former)
+    system.resume(former)
     system.run(1)
     in_flight = system.nodes[former].state.home.in_flight
     assert not any(in_flight.values())
--- a/tests/core/test_rolling.py
+++ b/tests/core/test_rolling.py
@@ -87,16 +87,16 @@
 
     def _deliver_some(self) -> None:
         for _ in range(self.random.randrange(30)):
-            if self.system.flights:
-                self._deliver_first(_pair(self.random.choice(self.system.flights)))
+            if self.system.in_transit:
+                self._deliver_first(_pair(self.random.choice(self.system.in_transit)))
 
     def _deliver_first(self, pair: tuple[str, str]) -> None:
-        flights = enumerate(self.system.flights)
+        flights = enumerate(self.system.in_transit)
         self.system.deliver(next(n for n, flight in flights if _pair(flight) == pair))
 
     def _take_answers(self) -> None:
-        told = self.system.told[self.seen :]
-        self.seen = len(self.system.told)
+        told = self.system.delivered[self.seen :]
+        self.seen = len(self.system.delivered)
         for each in told:
             if each.answer.kind in ASK_AGAIN:
                 self.system.submit(self.submissions[each.key])
@@ -117,7 +117,7 @@
         for _ in range(DELIVERIES):
             moving = [
                 pair
-                for pair in map(_pair, self.system.flights)
+                for pair in map(_pair, self.system.in_transit)
                 if self.stalled_until.get(pair, 0) <= self.steps
             ]
             if not moving:
@@ -153,7 +153,9 @@
     system.tick()
     while True:
         places = (
-            place for place, flight in enumerate(system.flights) if not is_held(flight)
+            place
+            for place, flight in enumerate(system.in_transit)
+            if not is_held(flight)
         )
         first = next(places, None)
         if first is None:
@@ -254,7 +256,7 @@
         return flight.to == leaver and isinstance(flight.message, StartTask)
 
     _pass_all_but(system, is_start)
-    assert any(map(is_start, system.flights))
+    assert any(map(is_start, system.in_transit))
     _replace(system, leaver, is_start)
     (answer,) = system.answers(submission.key)
     assert (answer.kind, answer.work) == (None, Work.RAN)
--- a/tests/core/test_safeguards.py
+++ b/tests/core/test_safeguards.py
@@ -42,7 +42,7 @@
 
 def _settle_unconfirmed(state, confirmation, now):
     state.confirmations.pop(confirmation.partition, None)
-    return endings._settle(state, confirmation, confirmed=True, now=now)
+    return endings._resolve_confirmation(state, confirmation, confirmed=True, now=now)
 
 
 def _find_uncovered_except_former_owner(state, ownership, parts, now):
@@ -145,7 +145,7 @@
     ),
     pytest.param(
         endings,
-        "_ask_next",
+        "_send_to_next",
         _settle_unconfirmed,
         histories.test_a_paused_home_that_wakes_does_not_say_not_run,
         id="not run is confirmed before it is answered",
@@ -189,6 +189,6 @@
 
 
 def test_the_modules_under_test_are_the_ones_in_use():
-    assert dispatch.complete is endings.complete
+    assert dispatch.complete_job is endings.complete_job
     assert fences.floor_birth is ledger.floor_birth
     assert epochs.fence_acks is start_records.fence_acks
--- a/tests/core/test_sidecar.py
+++ b/tests/core/test_sidecar.py
@@ -70,8 +70,8 @@
     for number in range(8):
         system.submit(system.submission(f"k{number}"))
     system.run(2)
-    assert all(told.answer.kind is None for told in system.told)
-    assert len(system.told) == 8
+    assert all(told.answer.kind is None for told in system.delivered)
+    assert len(system.delivered) == 8
 
 
 def test_the_last_sidecar_leaves_although_nobody_can_take_over():
--- a/tests/core/walk.py
+++ b/tests/core/walk.py
@@ -92,7 +92,7 @@
     if name in NEEDS_SUBMISSIONS:
         return bool(machine.submissions)
     if name in NEEDS_FLIGHTS:
-        return bool(machine.system.flights)
+        return bool(machine.system.in_transit)
     if name == "lose_connection":
         return bool(machine.system.links)
     return True
