--- a/tests/core/test_home.py
+++ b/tests/core/test_home.py
@@ -123,7 +123,7 @@
     former = system.owner(submission.key)
     system.pause(former)
     system.run(3)
-    system.wake(former)
+    system.resume(former)
     system.run(1)
     in_flight = system.nodes[former].state.home.in_flight
     assert not any(in_flight.values())
--- a/tests/core/test_promises.py
+++ b/tests/core/test_promises.py
@@ -109,28 +109,28 @@
 
     # -- messages and time
 
-    @precondition(lambda self: self.system.flights)
+    @precondition(lambda self: self.system.in_transit)
     @rule(place=INDEXES)
     def deliver(self, place):
-        self.system.deliver(place % len(self.system.flights))
+        self.system.deliver(place % len(self.system.in_transit))
 
-    @precondition(lambda self: self.system.flights)
+    @precondition(lambda self: self.system.in_transit)
     @rule()
     def deliver_all(self):
         self.system.deliver_all()
 
-    @precondition(lambda self: self.system.flights)
+    @precondition(lambda self: self.system.in_transit)
     @rule(place=INDEXES)
     def repeat(self, place):
-        flight = self.system.flights[place % len(self.system.flights)]
+        flight = self.system.in_transit[place % len(self.system.in_transit)]
         if not isinstance(flight.message, JobAnswer):
-            self.system.flights.append(flight)
+            self.system.in_transit.append(flight)
 
     @precondition(lambda self: self.system.links)
     @rule(place=INDEXES)
     def lose_connection(self, place):
         links = sorted(self.system.links, key=sorted)
-        self.system.lose_connection(links[place % len(links)])
+        self.system.drop_connection(links[place % len(links)])
 
     @rule(ticks=st.integers(1, 30), delivers=st.booleans())
     def pass_time(self, ticks, delivers):
@@ -204,7 +204,7 @@
             if node.paused:
                 if forgets:
                     node.backlog.clear()
-                self.system.wake(name)
+                self.system.resume(name)
 
     # -- faults
 
@@ -258,7 +258,7 @@
         if name is not None:
             if forgets:
                 self.system.nodes[name].backlog.clear()
-            self.system.wake(name)
+            self.system.resume(name)
 
     @rule(index=INDEXES)
     def drain(self, index):
@@ -275,7 +275,7 @@
 
     @rule()
     def heal(self):
-        self.system.heal()
+        self.system.restore_links()
 
     @rule(is_down=st.booleans(), lost=st.integers(0, 2))
     def change_the_table(self, is_down, lost):
@@ -292,7 +292,7 @@
 
     @invariant()
     def what_was_not_run_never_ran(self):
-        for told in getattr(self, "system", System(workers=0)).told:
+        for told in getattr(self, "system", System(workers=0)).delivered:
             if told.answer.work is not Work.NOT_RUN or told.attempt < 0:
                 continue
             for start in self.system.started:
@@ -305,7 +305,7 @@
             submission.key: self.model.submit(submission)
             for submission in getattr(self, "submissions", ())
         }
-        for told in getattr(self, "system", System(workers=0)).told:
+        for told in getattr(self, "system", System(workers=0)).delivered:
             if told.answer.kind is None:
                 assert told.answer.results == expected[told.key]
             else:
@@ -331,11 +331,11 @@
         if not hasattr(self, "submissions"):
             return
         system = self.system
-        system.heal()
+        system.restore_links()
         system.table.is_down = False
         for name, node in list(system.nodes.items()):
             if node.paused:
-                system.wake(name)
+                system.resume(name)
         system.hold_upstreams = False
         system.run(8)
         self._replace_all()
--- a/tests/runs/world.py
+++ b/tests/runs/world.py
@@ -3,7 +3,7 @@
 The real reducers run; only sockets, timers and workers are replaced. A fault is a call
 or a probability, so that a failure test reads as the order of its events, and a
 random walk (``walk.py``) can call them in any order. Broken promises are collected in
-``broken``.
+``violations``.
 """
 
 import heapq
@@ -26,8 +26,8 @@
     Tick,
     Timed,
 )
-from gypsumspoke.runs import coordinator, guard
-from gypsumspoke.runs.admission import refuse_behind
+from gypsumspoke.runs import coordinator, supervisor
+from gypsumspoke.runs.admission import refuse_overloaded
 from gypsumspoke.runs.budget import DEFAULT_BUDGET, Budget
 from gypsumspoke.runs.coordinator_state import (
     AnswerJob,
@@ -37,20 +37,9 @@
     JobCallerLeft,
 )
 from gypsumspoke.runs.directory import Directory
-from gypsumspoke.runs.guard_holds import HOLD_ANSWER_WITHIN
-from gypsumspoke.runs.guard_state import GuardState
-from gypsumspoke.runs.orders import (
-    HeartbeatArrived,
-    HoldAnswered,
-    HoldFailed,
-    HoldOrder,
-    OrderAnswered,
-    OrderKind,
-    OrderResult,
-    StartOrder,
-    StopOrder,
-)
 from gypsumspoke.runs.routing import RoutingTable
+from gypsumspoke.runs.supervisor_renewals import COMMAND_TIMEOUT
+from gypsumspoke.runs.supervisor_state import SupervisorState
 from gypsumspoke.runs.values import (
     Configuration,
     Job,
@@ -61,7 +50,18 @@
     Route,
     RunId,
     Step,
-    WorkerReady,
+    WorkerState,
+)
+from gypsumspoke.runs.worker_commands import (
+    CommandAnswered,
+    CommandKind,
+    CommandResult,
+    HeartbeatArrived,
+    RenewalAnswered,
+    RenewalFailed,
+    RenewCommand,
+    StartCommand,
+    StopCommand,
 )
 from tests.runs.worker import ZERO, FakeWorker
 
@@ -118,7 +118,7 @@
         return self.name.rpartition("-")[0]
 
 
-class Fate(NamedTuple):
+class Delivery(NamedTuple):
     """What becomes of one order to a worker.
 
     Attributes:
@@ -129,7 +129,7 @@
 
     arrives: timedelta | None
     returns: timedelta | None
-    given_up: timedelta = HOLD_ANSWER_WITHIN
+    given_up: timedelta = COMMAND_TIMEOUT
 
 
 class Exchange:
@@ -161,19 +161,19 @@
         self.budget = budget
         self.now = START
         self.random = random.Random(seed)
-        self.broken: list[str] = []
+        self.violations: list[str] = []
         self.answers: dict[str, AnswerJob] = {}
         self.answered_at: dict[str, datetime] = {}
         self.log: list[tuple[datetime, str, Any]] = []
         self.processes: dict[str, Process] = {}
         self.workers: dict[str, FakeWorker] = {}
         self.all_workers: list[FakeWorker] = []
-        self.lives: dict[str, int] = {}
-        self.born_at: dict[str, datetime] = {}
+        self.worker_incarnations: dict[str, int] = {}
+        self.worker_started_at: dict[str, datetime] = {}
         self.clock_rate: dict[str, float] = {}
         self.pace: dict[str, float] = {}
         self.silent_workers: set[str] = set()
-        self.deaf_to_stops: set[str] = set()
+        self.hosts_ignoring_stops: set[str] = set()
         self.cut: set[frozenset[str]] = set()
         self.lost_share = 0.0
         self.late_share = 0.0
@@ -182,10 +182,10 @@
         self.fails: Callable[[RunId], bool] = lambda run: False
         self.costs: dict[str, Callable[[Any], timedelta]] = {}
         self.refusal_cost = ZERO
-        self.fate: Callable[[str, Any], Fate | None] = lambda host, order: None
+        self.delivery: Callable[[str, Any], Delivery | None] = lambda host, order: None
         self.on_answer: Callable[[AnswerJob], None] = lambda answer: None
         self.drained_at: dict[str, datetime] = {}
-        self.wakes_with_a_tick = False
+        self.tick_on_wake = False
         self._connected: set[frozenset[str]] = set()
         self._queue: list[tuple[datetime, int, Callable[[], None]]] = []
         self._numbers = itertools.count()
@@ -227,9 +227,9 @@
 
     def start_sidecar(self, host: str) -> Process:
         """Start a sidecar, or the next incarnation of one."""
-        state = GuardState(SERVICE, Directory("", ()), self.now, self.budget)
-        process = self._add(host, guard.reduce, state)
-        self._beat(process)
+        state = SupervisorState(SERVICE, Directory("", ()), self.now, self.budget)
+        process = self._add(host, supervisor.reduce, state)
+        self._send_heartbeats(process)
         return process
 
     def _add(self, host: str, reduce: Callable, state: Any) -> Process:
@@ -240,8 +240,8 @@
 
     def start_worker(self, host: str) -> None:
         """Start a worker, or its next life."""
-        self.lives[host] = self.lives.get(host, 0) + 1
-        self.born_at[host] = self.now
+        self.worker_incarnations[host] = self.worker_incarnations.get(host, 0) + 1
+        self.worker_started_at[host] = self.now
         self.clock_rate.setdefault(host, 1.0)
         pace = self.pace.setdefault(host, 1.0)
         self.workers[host] = FakeWorker(
@@ -275,7 +275,7 @@
     def _wake(self, process: Process) -> None:
         process.frozen = False
         waiting, process.backlog = process.backlog, []
-        if self.wakes_with_a_tick:
+        if self.tick_on_wake:
             self.post(process, Tick())
         for event in waiting:
             self.post(process, event)
@@ -307,7 +307,7 @@
         event = JobArrived(request, sent, ROUTE, self.now + within)
         self.post(self.processes[host], event)
 
-    def leave(self, host: str, request: str) -> None:
+    def close_request(self, host: str, request: str) -> None:
         """Close the connection of a request."""
         self.post(self.processes[host], JobCallerLeft(request))
 
@@ -357,7 +357,7 @@
     ) -> tuple[list[Any], timedelta]:
         """Return what comes of an event, and the processor time that it takes."""
         if isinstance(event, JobArrived):
-            refusal = refuse_behind(process.state, event.job.id)
+            refusal = refuse_overloaded(process.state, event.job.id)
             if refusal is not None:
                 answer = AnswerJob(event.request, JobEnd.NOT_RUN, *refusal)
                 return [answer], self.refusal_cost
@@ -375,7 +375,7 @@
         self.at(self.budget.tick, lambda: self._tick(process))
 
     def _connect_all(self, process: Process) -> None:
-        if process.frozen or not isinstance(process.state, GuardState):
+        if process.frozen or not isinstance(process.state, SupervisorState):
             return
         for other in list(self.processes.values()):
             if not isinstance(other.state, CoordinatorState):
@@ -413,7 +413,7 @@
                 self.at(ONE_WAY, lambda: self._deliver(pair, to, event))
             case AnswerJob():
                 self._take_answer(effect)
-            case StartOrder() | StopOrder() | HoldOrder():
+            case StartCommand() | StopCommand() | RenewCommand():
                 self.at(ZERO, lambda: self._order(process, effect))
             case Exit():
                 process.exited = True
@@ -432,7 +432,7 @@
 
     def _take_answer(self, answer: AnswerJob) -> None:
         if answer.request in self.answers:
-            self.broken.append(f"{answer.request} was answered twice")
+            self.violations.append(f"{answer.request} was answered twice")
         self.answers[answer.request] = answer
         self.answered_at[answer.request] = self.now
         self.on_answer(answer)
@@ -441,13 +441,13 @@
 
     def worker_clock(self, host: str) -> timedelta:
         """Return the worker's own clock."""
-        return (self.now - self.born_at[host]) * self.clock_rate[host]
+        return (self.now - self.worker_started_at[host]) * self.clock_rate[host]
 
-    def beat(self, host: str, state: WorkerReady = WorkerReady.READY) -> None:
+    def send_heartbeat(self, host: str, state: WorkerState = WorkerState.READY) -> None:
         """Have a worker say what it is now."""
         registration = Registration(
             id=f"w-{host}",
-            born=self.lives[host],
+            incarnation=self.worker_incarnations[host],
             sequence=next(self._sequence),
             service=SERVICE,
             state=state,
@@ -457,23 +457,23 @@
         )
         self.post(self.processes[host], HeartbeatArrived(registration))
 
-    def _beat(self, process: Process) -> None:
+    def _send_heartbeats(self, process: Process) -> None:
         if not process.alive:
             return
         if process.host not in self.drained_at:
-            self.beat(process.host)
-        self.at(ms(1500), lambda: self._beat(process))
+            self.send_heartbeat(process.host)
+        self.at(ms(1500), lambda: self._send_heartbeats(process))
 
     def _order(self, process: Process, order: Any) -> None:
         host = process.host
         if not process.alive:
             return
-        fate = self.fate(host, order)
+        fate = self.delivery(host, order)
         if fate is not None:
             self._exchange(process, order, fate)
             return
         chance = self.random.random()
-        is_deaf = isinstance(order, StopOrder) and host in self.deaf_to_stops
+        is_deaf = isinstance(order, StopCommand) and host in self.hosts_ignoring_stops
         if is_deaf or host in self.silent_workers or chance < self.lost_share:
             self._unanswered(process, order)
             return
@@ -483,43 +483,45 @@
             self.at(delay, lambda: self._carry_out_late(host, worker, order))
             self._unanswered(process, order)
             return
-        if isinstance(order, HoldOrder):
+        if isinstance(order, RenewCommand):
             self._hold(process, order, self.now)
             return
-        if isinstance(order, StartOrder) and self.delay_starts > 0:
+        if isinstance(order, StartCommand) and self.delay_starts > 0:
             self.delay_starts -= 1
-            delay = HOLD_ANSWER_WITHIN + ms(0.5)
+            delay = COMMAND_TIMEOUT + ms(0.5)
             self.at(delay, lambda: self._carry_out(host, self.workers[host], order))
             self._unanswered(process, order)
             return
         worker = self.workers[host]
         result = self._carry_out(host, worker, order)
-        loses = isinstance(order, StartOrder) and self.lose_start_answers > 0
+        loses = isinstance(order, StartCommand) and self.lose_start_answers > 0
         self.lose_start_answers -= loses
         if loses or self.random.random() < self.lost_share:
             self._unanswered(process, order)
             return
-        kind = OrderKind.START if isinstance(order, StartOrder) else OrderKind.STOP
+        kind = (
+            CommandKind.START if isinstance(order, StartCommand) else CommandKind.STOP
+        )
         clock = self.worker_clock(host)
-        event = OrderAnswered(kind, order.run, result, clock, self.now)
+        event = CommandAnswered(kind, order.run, result, clock, self.now)
         self.at(ONE_WAY, lambda: self.post(process, event))
 
-    def _carry_out(self, host: str, worker: FakeWorker, order: Any) -> OrderResult:
+    def _carry_out(self, host: str, worker: FakeWorker, order: Any) -> CommandResult:
         clock = self.worker_clock(host)
-        if isinstance(order, StartOrder):
+        if isinstance(order, StartCommand):
             return worker.start(order, clock)
         return worker.stop(order, clock)
 
     def _carry_out_late(self, host: str, worker: FakeWorker, order: Any) -> None:
-        if worker is self.workers[host] and not isinstance(order, HoldOrder):
+        if worker is self.workers[host] and not isinstance(order, RenewCommand):
             self._carry_out(host, worker, order)
 
     def _unanswered(self, process: Process, order: Any) -> None:
         event = _no_answer(order)
-        delay = _wait_of(order) + HOLD_ANSWER_WITHIN
+        delay = _wait_of(order) + COMMAND_TIMEOUT
         self.at(delay, lambda: self.post(process, event))
 
-    def _exchange(self, process: Process, order: Any, fate: Fate) -> None:
+    def _exchange(self, process: Process, order: Any, fate: Delivery) -> None:
         """Carry an order and its answer on a connection of their own."""
         exchange = Exchange(process, order, self.now)
         worker = self.workers[process.host]
@@ -528,29 +530,33 @@
         if fate.arrives is not None:
             self.at(fate.arrives, lambda: self._arrive(exchange, worker, fate))
 
-    def _arrive(self, exchange: Exchange, worker: FakeWorker, fate: Fate) -> None:
+    def _arrive(self, exchange: Exchange, worker: FakeWorker, fate: Delivery) -> None:
         host, order = exchange.process.host, exchange.order
         if worker is not self.workers[host]:
             return
         clock = self.worker_clock(host)
-        if not isinstance(order, HoldOrder):
+        if not isinstance(order, RenewCommand):
             result = self._carry_out(host, worker, order)
-            kind = OrderKind.START if isinstance(order, StartOrder) else OrderKind.STOP
+            kind = (
+                CommandKind.START
+                if isinstance(order, StartCommand)
+                else CommandKind.STOP
+            )
             sent = exchange.sent
-            event = OrderAnswered(kind, order.run, result, clock, sent)
+            event = CommandAnswered(kind, order.run, result, clock, sent)
             self._return(exchange, fate, event)
             return
         result = worker.hold(order, clock)
-        if result is OrderResult.ACCEPTED:
+        if result is CommandResult.ACCEPTED:
             self._list(exchange, worker, fate, self.now)
         else:
-            failed = HoldFailed(
+            failed = RenewalFailed(
                 result, clock, order.is_extra, order.token, order.number
             )
             self._return(exchange, fate, failed)
 
     def _list(
-        self, exchange: Exchange, worker: FakeWorker, fate: Fate, arrived: datetime
+        self, exchange: Exchange, worker: FakeWorker, fate: Delivery, arrived: datetime
     ) -> None:
         """Make the answer to a hold when there is an end, or the wait is over."""
         host, order = exchange.process.host, exchange.order
@@ -563,8 +569,8 @@
             self.at(ms(5), lambda: self._list(exchange, worker, fate, arrived))
             return
         listed = worker.listed(clock)
-        born = self.lives[host]
-        event = HoldAnswered(
+        born = self.worker_incarnations[host]
+        event = RenewalAnswered(
             exchange.sent,
             clock,
             born,
@@ -576,7 +582,7 @@
         )
         self._return(exchange, fate, event)
 
-    def _return(self, exchange: Exchange, fate: Fate, event: Any) -> None:
+    def _return(self, exchange: Exchange, fate: Delivery, event: Any) -> None:
         if fate.returns is not None:
             self.at(fate.returns, lambda: self._close(exchange, event))
 
@@ -586,25 +592,31 @@
             exchange.is_open = False
             self.post(exchange.process, event)
 
-    def _hold(self, process: Process, order: HoldOrder, sent: datetime) -> None:
+    def _hold(self, process: Process, order: RenewCommand, sent: datetime) -> None:
         host = process.host
         worker = self.workers[host]
         result = worker.hold(order, self.worker_clock(host))
-        if result is not OrderResult.ACCEPTED:
+        if result is not CommandResult.ACCEPTED:
             clock = self.worker_clock(host)
-            event = HoldFailed(result, clock, order.is_extra, order.token, order.number)
+            event = RenewalFailed(
+                result, clock, order.is_extra, order.token, order.number
+            )
             self.at(ONE_WAY, lambda: self.post(process, event))
             return
         self._answer_hold(process, worker, order, sent)
 
     def _answer_hold(
-        self, process: Process, worker: FakeWorker, order: HoldOrder, sent: datetime
+        self, process: Process, worker: FakeWorker, order: RenewCommand, sent: datetime
     ) -> None:
         """Answer when there is an end, or when the wait is over."""
         host = process.host
         if worker is not self.workers[host]:
-            failed = HoldFailed(
-                OrderResult.UNANSWERED, None, order.is_extra, order.token, order.number
+            failed = RenewalFailed(
+                CommandResult.UNANSWERED,
+                None,
+                order.is_extra,
+                order.token,
+                order.number,
             )
             self.post(process, failed)
             return
@@ -616,8 +628,8 @@
             self.at(again, lambda: self._answer_hold(process, worker, order, sent))
             return
         listed = worker.listed(clock)
-        born = self.lives[host]
-        event = HoldAnswered(
+        born = self.worker_incarnations[host]
+        event = RenewalAnswered(
             sent, clock, born, listed, ended, order.is_extra, order.token, order.number
         )
         self.at(ONE_WAY, lambda: self.post(process, event))
@@ -628,12 +640,12 @@
         at_work: dict[Any, str] = {}
         for host, worker in self.workers.items():
             worker.advance(self.worker_clock(host))
-            self.broken += worker.broken
-            worker.broken = []
+            self.violations += worker.violations
+            worker.violations = []
             for run in [*worker.running, *worker.stopping]:
                 if run.task in at_work:
                     other = at_work[run.task]
-                    self.broken.append(
+                    self.violations.append(
                         f"{self.now - START}: {run.task} runs on {other} and {host}"
                     )
                 at_work[run.task] = host
@@ -649,13 +661,13 @@
 
 
 def _wait_of(order: Any) -> timedelta:
-    return order.wait if isinstance(order, HoldOrder) else ZERO
+    return order.wait if isinstance(order, RenewCommand) else ZERO
 
 
-def _no_answer(order: Any) -> HoldFailed | OrderAnswered:
-    if isinstance(order, HoldOrder):
-        return HoldFailed(
-            OrderResult.UNANSWERED, None, order.is_extra, order.token, order.number
+def _no_answer(order: Any) -> RenewalFailed | CommandAnswered:
+    if isinstance(order, RenewCommand):
+        return RenewalFailed(
+            CommandResult.UNANSWERED, None, order.is_extra, order.token, order.number
         )
-    kind = OrderKind.START if isinstance(order, StartOrder) else OrderKind.STOP
-    return OrderAnswered(kind, order.run, OrderResult.UNANSWERED)
+    kind = CommandKind.START if isinstance(order, StartCommand) else CommandKind.STOP
+    return CommandAnswered(kind, order.run, CommandResult.UNANSWERED)
