--- a/gypsumspoke/core/jobs.py
+++ b/gypsumspoke/core/jobs.py
@@ -68,6 +68,18 @@
       submission: the submission, with the highest attempt and latest deadline so far.
       partition: its partition.
       accepted_at: when it was accepted.
+
+    Attributes:
+      unfinished: number of tasks that are not done.
+      waiters: requests that wait for the answer.
+      ending: why the job is ending; None while it runs.
+      ending_since: when it began to end.
+      confirmed: whether the home's epoch was confirmed after that.
+      resumable: False if records of its tasks may be missing, as after a takeover.
+      dropped: whether it was answered, or left with its partition.
+      longest_run: longest run time of its tasks.
+      messages: messages sent and received for it.
+      wasted: messages without progress, by reason.
     """
 
     def __init__(
--- a/gypsumspoke/core/placement.py
+++ b/gypsumspoke/core/placement.py
@@ -313,16 +313,16 @@
     too. The wait is bounded: the expected end at a full executor that stops answering
     grows with time, and one without tasks of this home counts as free.
     """
-    patience = state.strategy.patience
+    max_ratio = state.strategy.patience
     usable = pool.usable.items
-    if patience is None or not usable:
+    if max_ratio is None or not usable:
         return True
     drawn = state.random.sample(usable, min(_REFERENCE_SAMPLES, len(usable)))
     reference = min(_expected_end(state.executors[item], pool, now) for item in drawn)
     # A higher message weight keeps tasks at the home for longer: a task sent early to a
     # slow executor is more likely to be refused or cancelled, which costs messages.
-    patience -= state.message_weight * (patience - 1) / 2
-    return _expected_end(state.executors[best], pool, now) <= patience * reference
+    max_ratio -= state.message_weight * (max_ratio - 1) / 2
+    return _expected_end(state.executors[best], pool, now) <= max_ratio * reference
 
 
 def _mean_run(executor: ExecutorView, pool: ServicePool | None) -> float:
--- a/tests/core/test_endings.py
+++ b/tests/core/test_endings.py
@@ -69,19 +69,19 @@
     """
     monkeypatch.setattr(endings, "MAX_REFUSALS", 3)
     system = settled_system(workers=3, partitions=1)
-    copies = [system.submission(f"k{number}", tasks=1) for number in range(10)]
-    for copy in copies:
-        system.submit(copy._replace(service="other"))
+    submissions = [system.submission(f"k{number}", tasks=1) for number in range(10)]
+    for submission in submissions:
+        system.submit(submission._replace(service="other"))
     system.run(0.5)
-    home = system.nodes[system.owner(copies[0].key)].state.home
+    home = system.nodes[system.owner(submissions[0].key)].state.home
     assert home.ledger.refused_count(0) < 3
-    for copy in copies:
-        system.submit(copy)
+    for submission in submissions:
+        system.submit(submission)
     system.run(1)
     assert not system.started
-    for copy in copies:
-        answer = system.answers(copy.key)[-1]
-        system.submit(copy._replace(attempt=answer.next_attempt))
+    for submission in submissions:
+        answer = system.answers(submission.key)[-1]
+        system.submit(submission._replace(attempt=answer.next_attempt))
     system.run(2)
-    for copy in copies:
-        assert set(system.starts(copy.key).values()) == {1}
+    for submission in submissions:
+        assert set(system.starts(submission.key).values()) == {1}
--- a/tests/core/test_placement.py
+++ b/tests/core/test_placement.py
@@ -25,7 +25,7 @@
 NOW = datetime(2026, 1, 1, tzinfo=timezone.utc)
 SERVICE = "estimate"
 SLOTS = 8
-NOBODY = frozenset()
+NO_EXCLUSIONS = frozenset()
 
 
 def member(worker, **changes):
@@ -59,7 +59,7 @@
 
 
 def place(state, now=NOW):
-    chosen = choose_executor(state, SERVICE, NOBODY, now)
+    chosen = choose_executor(state, SERVICE, NO_EXCLUSIONS, now)
     if chosen is not None:
         record_placement(state, chosen, now)
     return chosen
@@ -198,7 +198,7 @@
     last = now = NOW
     while len(pauses) < 4:
         now += timedelta(milliseconds=100)
-        if choose_executor(state, SERVICE, NOBODY, now) == "w1-1":
+        if choose_executor(state, SERVICE, NO_EXCLUSIONS, now) == "w1-1":
             record_placement(state, "w1-1", now)
             finish(state, "w1-1", Outcome.FAILED, 0.001, now)
             pauses.append(now - last)
@@ -206,7 +206,7 @@
     assert all(later > sooner for sooner, later in zip(pauses, pauses[1:]))
     while ejected_executors(state):
         now += timedelta(milliseconds=100)
-        if choose_executor(state, SERVICE, NOBODY, now) == "w1-1":
+        if choose_executor(state, SERVICE, NO_EXCLUSIONS, now) == "w1-1":
             record_placement(state, "w1-1", now)
             finish(state, "w1-1", now=now)
     assert now - last < timedelta(minutes=2)
--- a/tests/core/test_promises.py
+++ b/tests/core/test_promises.py
@@ -292,12 +292,12 @@
 
     @invariant()
     def what_was_not_run_never_ran(self):
-        for told in getattr(self, "system", System(workers=0)).delivered:
-            if told.answer.work is not Work.NOT_RUN or told.attempt < 0:
+        for delivered in getattr(self, "system", System(workers=0)).delivered:
+            if delivered.answer.work is not Work.NOT_RUN or delivered.attempt < 0:
                 continue
             for start in self.system.started:
-                if start.key == told.key:
-                    assert start.submission_attempt > told.attempt, told
+                if start.key == delivered.key:
+                    assert start.submission_attempt > delivered.attempt, delivered
 
     @invariant()
     def each_answer_is_whole_and_its_own(self):
@@ -305,11 +305,11 @@
             submission.key: self.model.submit(submission)
             for submission in getattr(self, "submissions", ())
         }
-        for told in getattr(self, "system", System(workers=0)).delivered:
-            if told.answer.kind is None:
-                assert told.answer.results == expected[told.key]
+        for delivered in getattr(self, "system", System(workers=0)).delivered:
+            if delivered.answer.kind is None:
+                assert delivered.answer.results == expected[delivered.key]
             else:
-                assert told.answer.results == ()
+                assert delivered.answer.results == ()
 
     @invariant()
     def no_configuration_reverts(self):
