--- a/tests/core/membership_process.py
+++ b/tests/core/membership_process.py
@@ -1,4 +1,4 @@
-"""A process of which only membership runs, for its tests."""
+"""Test fixture: one process's membership reducer with an in-memory table."""
 
 from datetime import datetime, timedelta, timezone
 
@@ -47,7 +47,7 @@
 
 
 class Process:
-    """A membership reducer with a small table that answers when told to."""
+    """Runs a membership reducer; the test decides when the table answers."""
 
     def __init__(self, member, rows=()):
         self.member = member
--- a/tests/core/test_heartbeats.py
+++ b/tests/core/test_heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats: who is reachable, who knows more, whose clock is off."""
+"""Heartbeats: reachability, newer versions at peers and clock skew."""
 
 import pytest
 
@@ -15,7 +15,7 @@
 from tests.core.membership_process import SECOND, Process, heartbeat, row_of, sidecar
 
 
-def test_a_peer_that_knows_more_makes_it_read():
+def test_a_newer_version_at_a_peer_causes_a_read():
     process = Process(sidecar("w1"), (row_of(sidecar("w2"), 1),)).joined()
     process.tick()
     process.put(
@@ -29,7 +29,7 @@
     assert process.local(PartitionsChanged)[-1].rows[0].partition == 3
 
 
-def test_asks_the_peer_that_has_a_newer_manifest_and_hands_it_on():
+def test_a_newer_manifest_is_fetched_from_a_peer_and_passed_on():
     process = Process(sidecar("w1")).joined()
     process.event(heartbeat("w2-1", manifest_version=7))
     assert process.sent(ManifestRequest) == [ManifestRequest(0)]
@@ -38,7 +38,7 @@
     assert process.sent(ManifestUpdate) == [ManifestUpdate(7, "seven")]
 
 
-def test_a_question_is_answered_and_an_answer_is_not():
+def test_heartbeats_are_answered_but_answers_are_not():
     process = Process(sidecar("w1")).joined()
     process.event(heartbeat("w2-1", answer=False))
     assert [message.answer for message in process.sent(Heartbeat)] == [True]
@@ -62,11 +62,10 @@
     assert process.local(ReachabilityChanged)[-1].reachable == frozenset()
 
 
-def test_its_own_pause_makes_nobody_unreachable():
-    """A process paused for a minute wakes with its peers' answers still unread.
+def test_a_pause_of_this_process_makes_no_peer_unreachable():
+    """After a pause the peers' answers are still unread.
 
-    Judged by the questions asked before the pause all peers would look silent at
-    once, and it would try to take over their partitions.
+    If they counted as unanswered, the process would try to take over all partitions.
     """
     process = Process(sidecar("w1"), (row_of(sidecar("w2"), 1),)).joined()
     process.tick()
@@ -101,7 +100,7 @@
     assert membership.clock_is_off(process.state) is off
 
 
-def test_a_slow_answer_does_not_accuse_the_clock():
+def test_a_slow_answer_is_no_clock_disagreement():
     rows = (row_of(sidecar("w2"), 1), row_of(sidecar("w3"), 2))
     process = Process(sidecar("w1"), rows).joined()
     process.tick()
--- a/tests/core/test_membership.py
+++ b/tests/core/test_membership.py
@@ -1,4 +1,4 @@
-"""Registration, the view of members and partitions, manifests and clocks."""
+"""Membership of one process against an in-memory table."""
 
 from gypsumspoke.core import membership
 from tests.core.membership_process import SECOND, Process, heartbeat, row_of, sidecar
--- a/tests/core/test_membership_view.py
+++ b/tests/core/test_membership_view.py
@@ -1,4 +1,4 @@
-"""What a process takes from the table, and what it ignores."""
+"""Applying and rejecting rows of the table and manifests of peers."""
 
 from gypsumspoke.core import membership
 from gypsumspoke.core.effects import ApplyManifest
@@ -9,7 +9,7 @@
 from tests.core.membership_process import SECOND, START, Process, heartbeat, sidecar
 
 
-def test_a_manifest_never_falls():
+def test_an_older_manifest_is_ignored():
     process = Process(sidecar("w1")).joined()
     process.event(Received("w2-1", ManifestUpdate(7, "seven")))
     process.event(Received("w2-1", ManifestUpdate(5, "five")))
@@ -25,11 +25,10 @@
     assert not process.sent(ManifestRequest)
 
 
-def test_an_incarnation_that_others_ended_takes_nothing_new():
-    """An operator declares a paused worker gone; others stop waiting for its answers.
+def test_an_incarnation_that_others_ended_drains():
+    """Guards against second starts by a paused process whose registration was ended.
 
-    When it wakes and reads its own row as ended it drains: work started there from
-    now on would be unknown to the next home and could start twice.
+    New homes don't fence it, so they would not know of tasks that it still starts.
     """
     process = Process(sidecar("w1")).joined()
     process.put("members/w1-1", member_value(sidecar("w1", ended=START)))
@@ -41,7 +40,7 @@
     assert process.local(Drain)
 
 
-def test_an_operators_drain_reaches_it_through_its_row():
+def test_a_drain_request_in_the_own_row_is_followed():
     process = Process(sidecar("w1")).joined()
     process.put("members/w1-1", member_value(sidecar("w1", draining=True)))
     process.tick(SECOND)
@@ -51,6 +50,6 @@
     assert membership.is_registered(process.state)
 
 
-def test_a_bad_member_row_hides_no_other():
+def test_an_invalid_member_row_is_skipped():
     process = Process(sidecar("w1"), (Row("members/x", 1, "{"),)).joined()
     assert len(process.local(MembersChanged)[-1].members) == 1
--- a/tests/core/test_partitions.py
+++ b/tests/core/test_partitions.py
@@ -1,4 +1,4 @@
-"""A key's partition and a partition's preferred home."""
+"""Assignment of keys to partitions and of partitions to preferred homes."""
 
 from datetime import datetime, timezone
 
@@ -26,7 +26,7 @@
     )
 
 
-def test_team_and_key_do_not_run_together():
+def test_team_and_key_are_hashed_separately():
     first = partition_of(JobKey("ab", "c"), 2**32)
     second = partition_of(JobKey("a", "bc"), 2**32)
     assert first != second
--- a/tests/core/test_registration.py
+++ b/tests/core/test_registration.py
@@ -1,4 +1,4 @@
-"""Registering and leaving, with lost answers and a table that is down."""
+"""Registering and leaving, also with lost answers and an unavailable table."""
 
 from datetime import timedelta
 
@@ -28,11 +28,7 @@
 
 
 def test_a_registration_whose_answer_is_lost_is_found_by_reading_back():
-    """The write takes effect but its answer is lost; writing again would conflict.
-
-    The process reads its own row back and goes on as registered, without a second
-    incarnation and without giving up.
-    """
+    """The write takes effect but its answer is lost; a second write would conflict."""
     process = Process(sidecar("w1"))
     process.tick()
     process.answer()
@@ -54,7 +50,7 @@
     assert membership.is_registered(process.state)
 
 
-def test_an_answer_that_never_comes_is_given_up():
+def test_a_request_without_an_answer_times_out():
     process = Process(sidecar("w1"))
     process.tick()
     process.asked.clear()
--- a/tests/core/test_safeguards.py
+++ b/tests/core/test_safeguards.py
@@ -130,7 +130,7 @@
         fences,
         "_find_uncovered",
         _uncovered_but_for_the_former_owner,
-        histories.test_a_death_before_the_records_were_told_makes_old_keys_unknown,
+        histories.test_a_failure_before_records_were_replicated_makes_old_keys_unknown,
         id="the former owner's executor must be covered",
     ),
     pytest.param(
@@ -158,7 +158,7 @@
         home.adoption,
         "send_lost_records",
         lambda state, lost, now: [],
-        histories.test_a_home_tells_on_what_a_lost_executor_knew,
+        histories.test_a_home_replicates_the_records_of_a_lost_executor,
         id="homes tell on what lost executors knew",
     ),
     pytest.param(
--- a/tests/core/test_table_reads.py
+++ b/tests/core/test_table_reads.py
@@ -1,4 +1,4 @@
-"""When the table is read."""
+"""Scheduling of table reads."""
 
 from gypsumspoke.core import membership
 from gypsumspoke.core.effects import ReadRows
@@ -6,7 +6,7 @@
 from tests.core.membership_process import SECOND, Process, heartbeat, sidecar
 
 
-def test_keeps_trying_ever_more_slowly_while_the_table_is_down():
+def test_retries_back_off_while_the_table_is_down():
     process = Process(sidecar("w1"))
     reads = 0
     for _ in range(600):
@@ -20,7 +20,7 @@
     assert membership.is_registered(process.state)
 
 
-def test_many_peers_that_know_more_cause_one_read():
+def test_newer_versions_at_many_peers_cause_one_read():
     process = Process(sidecar("w1")).joined()
     process.tick(SECOND)
     for number in range(10):
--- a/tests/core/test_takeover.py
+++ b/tests/core/test_takeover.py
@@ -1,7 +1,6 @@
-"""Homes that die, pause, leave and take over.
+"""Takeover after homes fail, pause or leave.
 
-Each test tells one history. The system of reducers is driven in virtual time; who gets
-which message when is the test's choice.
+Each test runs a system of reducers in virtual time and controls message delivery.
 """
 
 from datetime import timedelta
@@ -13,14 +12,13 @@
 from gypsumspoke.core.values import AttemptId
 from tests.core.system import MANIFEST, POLICY, System, settled_system
 
-TAKEN_OVER = 3.0
+TAKEOVER_SECONDS = 3.0
 
 
 def test_a_job_is_resumed_by_the_next_home_without_a_second_start():
-    """The caller sees one complete answer, a few seconds later than usual.
+    """A home fails while some tasks of a job run and others wait.
 
-    Its home is killed while some tasks run and others wait. The next home fences the
-    executors, learns of the starts, and on the resubmission starts only the rest.
+    The next home fences the executors and on resubmission starts only the rest.
     """
     system = settled_system(workers=4)
     system.hold_upstreams = True
@@ -31,7 +29,7 @@
     assert 0 < started_before < 12
     system.kill(system.owner(submission.key))
     system.hold_upstreams = False
-    system.run(TAKEN_OVER)
+    system.run(TAKEOVER_SECONDS)
     system.submit(submission)
     system.run(2)
     (answer,) = system.answers(submission.key)
@@ -42,10 +40,7 @@
 
 
 def test_a_task_whose_executor_died_is_not_tried_elsewhere():
-    """The caller is told "unknown": the task may have run.
-
-    The executor was killed and replaced; no other one speaks for it.
-    """
+    """The task may have run at the failed executor, so the answer is "unknown"."""
     system = settled_system(workers=4)
     system.hold_upstreams = True
     submission = system.submission("k", tasks=6)
@@ -63,8 +58,8 @@
     assert not home.in_flight and not home.inquiries
 
 
-def test_tries_of_an_ended_job_at_an_executor_that_died_are_forgotten():
-    """A home that keeps them grows with each executor that ends."""
+def test_attempts_of_an_ended_job_at_a_dead_executor_are_dropped():
+    """Guards against a leak of in-flight attempts with each executor that ends."""
     system = settled_system(workers=4)
     system.hold_upstreams = True
     submission = system.submission("k", tasks=6)
@@ -84,16 +79,13 @@
 
 
 def test_a_finished_job_is_answered_by_the_next_home_from_executors_records():
-    """The caller resubmits a job that it got no answer for, and gets the answer.
-
-    All tasks ran, then the home died with its ledger. The executors kept the results.
-    """
+    """The home fails with its ledger after all tasks ran; executors kept results."""
     system = settled_system(workers=4)
     submission = system.submission("k", tasks=3)
     system.submit(submission)
     system.run(1)
     system.kill(system.owner(submission.key))
-    system.run(TAKEN_OVER)
+    system.run(TAKEOVER_SECONDS)
     system.submit(submission)
     system.run(1)
     first, second = system.answers(submission.key)
@@ -102,10 +94,9 @@
 
 
 def test_a_paused_home_that_wakes_starts_nothing():
-    """The caller resubmits through another entry while its home is paused.
+    """A home resumes after its partition was taken over and places its waiting tasks.
 
-    The home pauses with tasks waiting. The next home runs the job. The first one wakes
-    and tries to place the rest: each executor refuses its epoch.
+    Executors must refuse its epoch.
     """
     system = settled_system(workers=4)
     system.hold_upstreams = True
@@ -115,7 +106,7 @@
     former = system.owner(submission.key)
     system.pause(former)
     system.hold_upstreams = False
-    system.run(TAKEN_OVER)
+    system.run(TAKEOVER_SECONDS)
     system.submit(submission)
     system.run(1)
     system.wake(former)
@@ -127,21 +118,19 @@
 
 
 def test_a_paused_home_that_wakes_does_not_say_not_run():
-    """A copy that reaches the former home must not be told "not run" wrongly.
+    """A replaced home must not answer "not run" for a key that its successor ran.
 
-    The home pauses, the next one takes over and runs a key born later. The first home
-    wakes, doesn't know of its replacement, and has no worker for the copy's service.
-    Its refusal needs an executor's confirmation, which none gives.
+    Its refusal needs an executor's confirmation of its epoch, which none gives.
     """
     system = settled_system(workers=4)
     former = system.owner(system.submission("k").key)
     system.pause(former)
-    system.run(TAKEN_OVER + 3)
+    system.run(TAKEOVER_SECONDS + 3)
     submission = system.submission("k")
     system.submit(submission)
     system.run(1)
     assert set(system.starts(submission.key).values()) == {1}
-    # It wakes before any news of the takeover.
+    # It resumes before it can learn of the takeover.
     node = system.nodes[former]
     node.backlog.clear()
     node.paused = False
@@ -153,11 +142,10 @@
 
 
 def test_a_key_refused_before_a_takeover_stays_refused_after_it():
-    """A copy delayed on the way comes to the next home after "not run" was said.
+    """A delayed request reaches the next home after the first one answered "not run".
 
-    The first home refused the key and died with that knowledge. The next one can't
-    know, so it refuses every unknown key born before, and gives out an attempt number
-    above all that its predecessor could have given out.
+    The refusal was lost with the first home, so the next one refuses unknown keys born
+    before the takeover and returns an attempt number above those of its predecessor.
     """
     system = settled_system(workers=4)
     system.hold_upstreams = True
@@ -172,7 +160,7 @@
     assert first.work is Work.NOT_RUN
     system.kill(system.owner(refused.key))
     system.hold_upstreams = False
-    system.run(TAKEN_OVER)
+    system.run(TAKEOVER_SECONDS)
     system.submit(refused)
     system.submit(refused._replace(attempt=first.next_attempt))
     system.run(1)
@@ -186,10 +174,9 @@
 
 
 def test_two_deaths_in_a_row_lose_no_start():
-    """H1 dies, H2 takes over and dies too before the retention is over.
+    """A home fails after taking over from another one; its executor held start records.
 
-    H2's executor held a start that H1 had placed there. H2 told it to another executor
-    when it took over, so H3 knows it and answers the resubmission without a start.
+    It replicated them when it took over, so the third home starts nothing again.
     """
     system = settled_system(workers=5, partitions=1)
     submissions = [system.submission(f"k{number}", tasks=4) for number in range(6)]
@@ -199,13 +186,13 @@
     key = submissions[0].key
     first = system.owner(key)
     system.kill(first)
-    system.run(TAKEN_OVER)
+    system.run(TAKEOVER_SECONDS)
     second = system.owner(key)
     assert second != first
     assert any(start.worker == second.split(".")[0] for start in system.started)
     system.kill(second)
     system.join(first.split(".")[0])
-    system.run(TAKEN_OVER + 1)
+    system.run(TAKEOVER_SECONDS + 1)
     assert system.owner(key) not in (first, second)
     for submission in submissions:
         system.submit(submission)
@@ -214,11 +201,10 @@
         assert set(system.starts(submission.key).values()) == {1}
 
 
-def test_a_death_before_the_records_were_told_makes_old_keys_unknown():
-    """H2 takes over from H1 and dies before it could tell what its executor held.
+def test_a_failure_before_records_were_replicated_makes_old_keys_unknown():
+    """A home fails after a takeover, before it replicated its executor's records.
 
-    The caller of a job that H1 had run at H2's worker hears "unknown". "Not run" would
-    be wrong: the only record of the start died with H2.
+    These were the only records of the starts, so the answer must be "unknown".
     """
     system = settled_system(workers=4, partitions=1)
     submissions = [system.submission(f"k{number}", tasks=1) for number in range(8)]
@@ -230,12 +216,12 @@
         isinstance(message, Remember) and not message.source.startswith(first)
     )
     system.kill(first)
-    system.run(TAKEN_OVER)
+    system.run(TAKEOVER_SECONDS)
     second = system.owner(submissions[0].key)
     lost = [s for s in system.started if second.startswith(s.worker + ".")]
     assert lost
-    # The second home learns that the first one is gone, tells on what that one knew,
-    # and dies before it could give the partition back to the first one's worker.
+    # The second home replicates the records of the first one's executor and fails
+    # before it hands the partition back to the first one's worker.
     system.join(first.split(".")[0])
     system.is_lost = lambda message: (
         isinstance(message, Handoff)
@@ -245,7 +231,7 @@
     while not system.counts[Counter.HANDOFF_SENT]:
         system.run(0.1)
     system.kill(second)
-    system.run(TAKEN_OVER + 1)
+    system.run(TAKEOVER_SECONDS + 1)
     for submission in submissions:
         system.submit(submission)
     system.run(1)
@@ -254,19 +240,18 @@
 
 
 def test_what_an_owner_told_does_not_cover_later_starts():
-    """H2 told its records when it took over, then gave the partition to H3.
+    """A home replicates its records on a takeover and later hands the partition over.
 
-    H3 places a job on H2's worker, and both workers die. A third executor still holds
-    what H2 told as owner; it must not pass for all that H2's executor ever started, or
-    the job's resubmission would be told "not run".
+    The next home places a job on its worker, then both fail. The replicated records
+    must not count as complete, or a resubmission would be answered "not run".
     """
     system = settled_system(workers=4, partitions=1)
     first = system.owner(system.submission("k").key)
     system.kill(first)
-    system.run(TAKEN_OVER)
+    system.run(TAKEOVER_SECONDS)
     second = system.owner(system.submission("k").key)
     system.join(first.split(".")[0])
-    system.run(TAKEN_OVER)
+    system.run(TAKEOVER_SECONDS)
     third = system.owner(system.submission("k").key)
     assert third not in (first, second)
     born = system.now
@@ -279,7 +264,7 @@
         system.kill(name)
     for name in (second, third):
         system.join(name.split(".")[0])
-    system.run(TAKEN_OVER + 1)
+    system.run(TAKEOVER_SECONDS + 1)
     for start in lost:
         system.submit(system.submission(start.key.key, tasks=1, birth=born))
     system.run(1)
@@ -288,11 +273,10 @@
 
 
 def test_an_executor_lost_while_a_handed_partition_waits_is_told_on_in_full():
-    """A home hands over; while the next one waits for a fence, two executors die.
+    """Two executors fail during a handoff, one before it acknowledged its fence.
 
-    One had answered the fence with a start, the other had not. Both are replaced, the
-    partition is served, and its home dies too. The job on the first must not be told
-    "not run", and a job on the second must not be started again.
+    After the next home fails too, no job with tasks on them may be answered "not run"
+    or started again.
     """
     system = settled_system(workers=5, partitions=1)
     system.hold_upstreams = True
@@ -310,10 +294,10 @@
     system.kill(answering)
     for worker in workers[:2]:
         system.join(worker)
-    system.run(TAKEN_OVER)
+    system.run(TAKEOVER_SECONDS)
     system.hold_upstreams = False
     system.kill(system.owner(submission.key))
-    system.run(TAKEN_OVER + 1)
+    system.run(TAKEOVER_SECONDS + 1)
     system.join("more")
     system.run(1)
     system.submit(submission)
@@ -324,11 +308,7 @@
 
 
 def test_a_key_born_ahead_of_the_next_homes_clock_stays_refused():
-    """A caller whose clock runs ahead is refused; its late copy must not run.
-
-    The first home's clock runs ahead too, so it took the birth. The next home's clock
-    shows a time before that birth when it takes over.
-    """
+    """A refused key with a birth ahead of the next home's clock must not run later."""
     system = settled_system(workers=4, partitions=1)
     former = system.owner(system.submission("k").key)
     system.nodes[former].offset = timedelta(seconds=0.9)
@@ -354,10 +334,9 @@
 
 
 def test_keys_whose_records_were_lost_are_unknown():
-    """The caller is told "unknown", which is true, and never gets a second start.
+    """A job's home and the only executor with records of it fail together.
 
-    The only executor that knew a job dies together with the job's home, and both
-    workers are replaced. Nobody is left who knows whether the key ran.
+    Whether the key ran is lost: the answer is "unknown" and nothing starts again.
     """
     system = settled_system(workers=3, partitions=1)
     submission = system.submission("k", tasks=1)
@@ -369,7 +348,7 @@
     system.kill(f"{worker}.1")
     system.join(home.split(".")[0])
     system.join(worker)
-    system.run(TAKEN_OVER + 2)
+    system.run(TAKEOVER_SECONDS + 2)
     system.submit(submission)
     system.run(2)
     assert system.answers(submission.key)[-1].work is Work.UNKNOWN
@@ -380,11 +359,10 @@
     assert system.answers(later.key)[-1].kind is None
 
 
-def test_a_home_tells_on_what_a_lost_executor_knew():
-    """An executor dies and is replaced; later the home dies as well.
+def test_a_home_replicates_the_records_of_a_lost_executor():
+    """An executor fails, later the home fails as well.
 
-    The home had told the executor's starts to another one, so the next home knows
-    that the key ran, and unknown keys are served at once.
+    The home replicated the executor's records, so the next home knows that the key ran.
     """
     system = settled_system(workers=4, partitions=1)
     submission = system.submission("k", tasks=1)
@@ -395,7 +373,7 @@
     system.join(worker)
     system.run(3)
     system.kill(system.owner(submission.key))
-    system.run(TAKEN_OVER + 2)
+    system.run(TAKEOVER_SECONDS + 2)
     system.submit(submission)
     system.run(1)
     assert set(system.starts(submission.key).values()) == {1}
@@ -404,17 +382,17 @@
 
 
 def test_while_an_executor_does_not_answer_its_keys_are_unknown():
-    """The caller is told to come back; nothing starts on both sides of a cut.
+    """Guards against starts on both sides of a network partition.
 
-    A home dies, and an executor that can't be reached may still serve the old side.
-    Only its replacement's registration, or its answer, ends the doubt.
+    An unreachable executor may still serve the former home, until it acknowledges its
+    fence or its replacement registers.
     """
     system = settled_system(workers=4, partitions=1)
     home = system.owner(system.submission("k").key)
     silent = next(name for name in system.nodes if name != home)
     system.kill(home)
     system.pause(silent)
-    system.run(TAKEN_OVER)
+    system.run(TAKEOVER_SECONDS)
     submission = system.submission("k")
     system.submit(submission)
     system.run(3)
@@ -430,16 +408,16 @@
 
 
 def test_a_joining_executor_between_claim_and_read_refuses_the_former_home():
-    """A worker joins while a takeover has written its claim but not read the members.
+    """A worker joins between a takeover's claim and its read of the members.
 
-    The former home, paused and woken, knows the new worker and places a task there.
-    The worker registered first and read the map second, so it knows the new epoch.
+    The worker read the partition map after it registered, so it knows the new epoch and
+    refuses a task from the former home.
     """
     system = settled_system(workers=4, partitions=1)
     submission = system.submission("k", tasks=2)
     former = system.owner(submission.key)
     system.pause(former)
-    system.run(TAKEN_OVER)
+    system.run(TAKEOVER_SECONDS)
     joined = system.join("new")
     system.run(1)
     node = system.nodes[joined]
@@ -470,11 +448,7 @@
 
 
 def test_a_leaving_sidecar_hands_over_and_its_callers_notice_nothing():
-    """A sidecar is stopped gracefully under load; a resubmission finds its answer.
-
-    The home hands its ledger to the next one, the executor finishes and tells its
-    records to another. No key is answered "unknown" or "not run".
-    """
+    """After a graceful stop resubmissions get the same answers as before."""
     system = settled_system(workers=4, partitions=4)
     early = [system.submission(f"k{number}", tasks=3) for number in range(8)]
     for submission in early:
@@ -498,7 +472,7 @@
 
 
 def test_a_rolling_restart_leaves_no_key_unknown():
-    """Every sidecar is replaced in turn, and each old key still has its answer."""
+    """Each key keeps its answer while all sidecars are replaced in turn."""
     system = settled_system(workers=4, partitions=4)
     early = [system.submission(f"k{number}", tasks=3) for number in range(8)]
     for submission in early:
@@ -520,11 +494,10 @@
 
 
 def test_a_replaced_pair_that_wakes_starts_nothing():
-    """A job runs at the next home; the former home and an executor wake as one.
+    """A home and an executor are paused, replaced and resume together.
 
-    Both were paused together and replaced by the platform, so the next home counts the
-    executor as gone and does not fence it. Awake again, the former home takes a copy
-    and places it there. The executor noticed its pause and finds its row ended.
+    The next home did not fence the replaced executor. The executor detects its pause
+    and finds its row ended, so it starts nothing for the former home.
     """
     system = settled_system(workers=3, partitions=1)
     former = system.owner(system.submission("k").key)
@@ -532,7 +505,7 @@
     for name in (former, pair):
         system.pause(name)
         system.join(name.split(".")[0])
-    system.run(TAKEN_OVER + 2)
+    system.run(TAKEOVER_SECONDS + 2)
     submission = system.submission("k", tasks=2)
     system.submit(submission)
     system.run(1)
@@ -550,10 +523,9 @@
 
 
 def test_a_longer_retention_brings_no_forgotten_key_back():
-    """An operator shortens the retention and lengthens it again.
+    """Records are dropped under a short retention, which is then lengthened.
 
-    A job's records were dropped in between. Its resubmission is as old as the longer
-    retention allows, yet nobody knows any more whether it ran, not even the next home.
+    The key is within the new retention, but whether it ran is no longer known.
     """
     system = settled_system(workers=4, partitions=1)
     submission = system.submission("k", tasks=1)
@@ -565,7 +537,7 @@
     system.submit(submission)
     system.run(1)
     system.kill(system.owner(submission.key))
-    system.run(TAKEN_OVER)
+    system.run(TAKEOVER_SECONDS)
     system.submit(submission)
     system.run(1)
     kinds = [answer.kind for answer in system.answers(submission.key)]
@@ -580,8 +552,8 @@
         system.post(name, ManifestChanged(2, manifest))
 
 
-def test_the_table_down_changes_nothing_for_owned_partitions():
-    """Callers are served while the platform's table is down for long."""
+def test_owned_partitions_are_served_while_the_table_is_down():
+    """A long outage of the table does not affect partitions that have an owner."""
     system = settled_system(workers=3, partitions=4)
     system.table.is_down = True
     system.run(30)
@@ -592,7 +564,7 @@
 
 
 def test_a_claim_whose_answer_was_lost_is_found_by_reading_back():
-    """The table took the claim and its answer was lost; the partition is served."""
+    """The claim takes effect but its answer is lost; the partition must be served."""
     system = System(workers=3, partitions=2)
     system.run(0.9)
     system.table.answers_to_lose = 2
@@ -604,16 +576,15 @@
 
 
 def test_a_replaced_home_does_not_tell_on_what_its_successor_placed():
-    """A home is paused; its successor runs a job on a third worker. Both die.
+    """A replaced home resumes and replicates records of a failed executor.
 
-    The first home wakes before it hears of its replacement, sees the third worker's row
-    end, and tells another executor all that it knows of that worker's starts. The job
-    is not among them. Taken for complete, the job would be told "not run".
+    They lack the starts that its successor placed there. If they counted as complete, a
+    job of the successor would be answered "not run".
     """
     system = settled_system(workers=3, partitions=1)
     first = system.owner(system.submission("k").key)
     system.pause(first)
-    system.run(TAKEN_OVER + 1)
+    system.run(TAKEOVER_SECONDS + 1)
     second = system.owner(system.submission("k").key)
     assert second != first
     submission = system.submission("k", tasks=1)
@@ -626,7 +597,7 @@
     system.nodes[first].backlog.clear()
     system.join(second.split(".")[0])
     system.join(worker)
-    system.run(TAKEN_OVER + 2)
+    system.run(TAKEOVER_SECONDS + 2)
     system.submit(submission)
     system.run(1)
     assert system.answers(submission.key)[-1].work is Work.UNKNOWN
--- a/tests/core/walk.py
+++ b/tests/core/walk.py
@@ -1,8 +1,7 @@
-"""Weighted random walks over the histories of ``test_promises``, by seed.
+"""Weighted random walks over the rules of ``test_promises``, by seed.
 
-Hypothesis shrinks what it finds but spends most steps on short, even histories. A walk
-picks the rules that meet each other in a hole (submit, change the owner, resubmit) more
-often, and goes on for longer. A long run: ``python -m tests.core.walk 0 5000``.
+Compared with hypothesis, walks are longer and favor rules that interact (submit, change
+the owner, resubmit). For many seeds: ``python -m tests.core.walk 0 5000``.
 """
 
 import random
@@ -43,35 +42,35 @@
 GOOD_TABLE = 0.7
 
 
-def arguments(name, chance):
-    """Return arguments for a rule, drawn like those of the stateful test."""
-    index = chance.randrange(1_000_000)
-    which = chance.randrange(1_000_000)
+def arguments(name, rng):
+    """Return random arguments for a rule, like those of the stateful test."""
+    index = rng.randrange(1_000_000)
+    which = rng.randrange(1_000_000)
     drawn = {
-        "submit": (index, chance.uniform(-1, 1), chance.random() < 0.3),
-        "submit_some": (chance.randint(2, 4),),
-        "resubmit": (index, which, chance.random() < 0.5),
-        "resubmit_with_the_next_attempt": (index, which, chance.random() < 0.3),
+        "submit": (index, rng.uniform(-1, 1), rng.random() < 0.3),
+        "submit_some": (rng.randint(2, 4),),
+        "resubmit": (index, which, rng.random() < 0.5),
+        "resubmit_with_the_next_attempt": (index, which, rng.random() < 0.3),
         "cancel": (which,),
         "deliver": (index,),
         "repeat": (index,),
         "lose_connection": (index,),
-        "pass_time": (chance.randint(1, 25), chance.random() < 0.7),
+        "pass_time": (rng.randint(1, 25), rng.random() < 0.7),
         "finish_a_task": (
             index,
-            chance.choice([Outcome.DONE] * 4 + list(Outcome)),
+            rng.choice([Outcome.DONE] * 4 + list(Outcome)),
         ),
-        "change_the_owner": (which, chance.choice(["pause", "pause", "kill", "drain"])),
+        "change_the_owner": (which, rng.choice(["pause", "pause", "kill", "drain"])),
         "replace_the_holder": (which, index),
-        "wake_all": (chance.random() < 0.6,),
-        "kill": (index, chance.random() < 0.5),
+        "wake_all": (rng.random() < 0.6,),
+        "kill": (index, rng.random() < 0.5),
         "replace": (index,),
         "replace_a_paused_one": (index,),
         "pause": (index,),
-        "wake": (index, chance.random() < 0.5),
+        "wake": (index, rng.random() < 0.5),
         "drain": (index,),
         "cut": (index, which),
-        "change_the_table": (chance.random() > GOOD_TABLE, chance.randint(0, 1)),
+        "change_the_table": (rng.random() > GOOD_TABLE, rng.randint(0, 1)),
     }
     return drawn.get(name, ())
 
@@ -88,7 +87,7 @@
 
 
 def is_possible(machine, name):
-    """Return whether a rule's precondition holds."""
+    """Return whether the precondition of a rule holds."""
     if name in NEEDS_SUBMISSIONS:
         return bool(machine.submissions)
     if name in NEEDS_FLIGHTS:
@@ -99,17 +98,17 @@
 
 
 def walk(seed, steps=STEPS):
-    """Run one history and check the promises after each step and at its end."""
-    chance = random.Random(seed)
+    """Run one walk; check starts after each step and all promises at its end."""
+    rng = random.Random(seed)
     machine = Histories()
-    machine.start(seed, [chance.uniform(-1, 1) for _ in range(WORKERS)])
+    machine.start(seed, [rng.uniform(-1, 1) for _ in range(WORKERS)])
     names = list(WEIGHTS)
     weights = list(WEIGHTS.values())
     for _ in range(steps):
-        name = chance.choices(names, weights)[0]
+        name = rng.choices(names, weights)[0]
         if not is_possible(machine, name):
             continue
-        getattr(machine, name)(*arguments(name, chance))
+        getattr(machine, name)(*arguments(name, rng))
         machine.no_task_starts_twice()
     machine.what_was_not_run_never_ran()
     machine.each_answer_is_whole_and_its_own()
@@ -119,7 +118,7 @@
 
 
 def main(first, last):
-    """Walk the seeds from ``first`` to before ``last`` and list those that fail."""
+    """Run the walks of seeds ``first`` to ``last`` - 1 and list those that fail."""
     failed = []
     for seed in range(first, last):
         try:
