--- a/gypsumspoke/core/adoption.py
+++ b/gypsumspoke/core/adoption.py
@@ -1,4 +1,4 @@
-"""Adopts jobs of a former owner, hands partitions over and sends lost records on.
+"""Adopts jobs of former owners, hands partitions over and replicates lost records.
 
 A resubmission brings the task bodies and the executors' records show what started, so
 a new home can resume a job: it follows running tasks, uses results that executors kept
@@ -318,7 +318,7 @@
 
 
 def send_lost_records(state: HomeState, lost: str, now: datetime) -> list[Effect]:
-    """Send the records of a lost executor to another one, for all owned partitions.
+    """Replicate a lost executor's records to another one, for all owned partitions.
 
     This home holds the same start records. If it failed too, all keys with tasks at the
     lost executor would become unknown; the additional replica prevents that.
@@ -408,11 +408,11 @@
 def resend_lost_records(state: HomeState, now: datetime) -> list[Effect]:
     """Resend unacknowledged records, except for partitions no longer owned."""
     effects: list[Effect] = []
-    for place, transfer in list(state.record_transfers.items()):
+    for (partition, source), transfer in list(state.record_transfers.items()):
         if now - transfer.sent < state.policy.takeover_after:
             continue
-        del state.record_transfers[place]
-        ownership = state.serving(place[0])
-        if ownership is not None and place[1].endswith(f"@{ownership.epoch}"):
+        del state.record_transfers[partition, source]
+        ownership = state.serving(partition)
+        if ownership is not None and source.endswith(f"@{ownership.epoch}"):
             effects += _send_lost_records_of(state, ownership, transfer.lost, now)
     return effects
--- a/gypsumspoke/core/pause_check.py
+++ b/gypsumspoke/core/pause_check.py
@@ -3,8 +3,8 @@
 The platform may replace a process while it is paused. New homes then no longer fence
 it, so if a former home resumed together with it, the two could start tasks that have
 already started elsewhere. After a pause nothing starts until a fresh read of this
-process's own row shows that it was not ended. Pauses shorter than ``MIN_PAUSE`` need no
-check: a replacement can't start and register within that time.
+process's own row shows that it was not ended. The platform replaces no running process,
+and within a pause shorter than ``MIN_PAUSE`` a replacement can't start and register.
 """
 
 from datetime import datetime, timedelta
@@ -29,7 +29,7 @@
         self._row_key = member_key(incarnation)
         self._last_event: datetime | None = None
         self._is_unverified = False
-        self._asked: datetime | None = None
+        self._last_read: datetime | None = None
         self._number = 0
 
     @property
@@ -51,7 +51,7 @@
 
     def tick(self, now: datetime) -> list[Effect]:
         """Repeat the read until the table answers."""
-        if not self._is_unverified or now - self._asked < READ_RETRY_DELAY:
+        if not self._is_unverified or now - self._last_read < READ_RETRY_DELAY:
             return []
         return self._read(now)
 
@@ -66,5 +66,5 @@
     def _read(self, now: datetime) -> list[Effect]:
         # The number distinguishes the answer from those to reads before this pause.
         self._number += 1
-        self._asked = now
+        self._last_read = now
         return [ReadRows(f"{_REQUEST}:{self._number}", self._row_key)]
--- a/gypsumspoke/core/takeover_state.py
+++ b/gypsumspoke/core/takeover_state.py
@@ -149,7 +149,7 @@
 
 
 def is_silent(state: TakeoverState, incarnation: str, now: datetime) -> bool:
-    """Return whether a process has been unreachable for ``takeover_after``."""
+    """Return whether a process has been unreachable for at least ``takeover_after``."""
     silent = state.unreachable_since.get(incarnation)
     return silent is not None and now - silent >= state.policy.takeover_after
 
