--- a/gypsumspoke/core/record_replication.py
+++ b/gypsumspoke/core/record_replication.py
@@ -13,7 +13,7 @@
 from gypsumspoke.core.start_records import remember_messages
 from gypsumspoke.core.values import TaskState
 
-OWN_RECORDS = 0
+OWN_RECORDS_EPOCH = 0
 REMEMBER_RESEND_DELAY = timedelta(seconds=1)
 
 
@@ -25,7 +25,7 @@
         # They could be lost with this executor before it replicates them in turn.
         return []
     known = state.epochs.get(message.partition, 0)
-    if message.epoch != OWN_RECORDS and message.epoch < known:
+    if message.epoch != OWN_RECORDS_EPOCH and message.epoch < known:
         # A replaced home that resumes doesn't know what its successor placed on the
         # executor whose records it sends. The successor fences this executor before it
         # places anything, so a stale epoch shows here.
@@ -38,7 +38,7 @@
     del state.partial_remembers[set_id]
     for part in parts.values():
         _add_records(state, part)
-    state.records.cover(message.partition, message.covers)
+    state.records.add_covers(message.partition, message.covers)
     return [Send(sender, RememberAck(message.partition, message.source))]
 
 
@@ -108,7 +108,7 @@
     covers = state.records.covers(partition)
     messages = remember_messages(
         partition,
-        OWN_RECORDS,
+        OWN_RECORDS_EPOCH,
         state.incarnation,
         started,
         closed,
--- a/gypsumspoke/core/start_records.py
+++ b/gypsumspoke/core/start_records.py
@@ -160,7 +160,7 @@
             closed[record.key] = record
             heapq.heappush(self._expiry, (record.birth, partition, record.key))
 
-    def cover(self, partition: int, incarnations: Iterable[str]) -> None:
+    def add_covers(self, partition: int, incarnations: Iterable[str]) -> None:
         """Add incarnations whose records of a partition are held here in full."""
         self._covers.setdefault(partition, set()).update(incarnations)
 
--- a/tests/core/system.py
+++ b/tests/core/system.py
@@ -419,7 +419,7 @@
         self.in_transit.append(Envelope("entry", to or self.owner(key), message))
 
     def answers(self, key):
-        return [told.answer for told in self.delivered if told.key == key]
+        return [each.answer for each in self.delivered if each.key == key]
 
     def starts(self, key):
         return Tally(start.task for start in self.started if start.key == key)
--- a/tests/core/test_executor.py
+++ b/tests/core/test_executor.py
@@ -32,7 +32,7 @@
     return StartTask(attempt, 3, 0, NOW, b"", 1, SERVICE, deadline, False, b"1")
 
 
-def give(state, message):
+def receive(state, message):
     return executor.reduce(state, Received(HOME, message), NOW)
 
 
@@ -55,13 +55,13 @@
 def test_a_leaving_upstream_finishes_running_tasks_and_gets_no_new_ones():
     """A queued task must be refused as not run, so that it runs elsewhere."""
     state = new_executor()
-    assert started(give(state, start("runs"))) == ["runs"]
-    give(state, start("waits"))
+    assert started(receive(state, start("runs"))) == ["runs"]
+    receive(state, start("waits"))
     (not_run,) = outcomes(executor.reduce(state, LEAVES, NOW))
     assert not_run.attempt.key.key == "waits"
     assert not_run.outcome is Outcome.NOT_RUN
     assert not_run.load.slots == 0
-    (refused,) = outcomes(give(state, start("later")))
+    (refused,) = outcomes(receive(state, start("later")))
     assert refused.reason == RetryReason.EXECUTOR_LEAVING.value
     ended = UpstreamAnswered(start("runs").attempt, Outcome.DONE, b"2", "")
     effects = executor.reduce(state, ended, NOW)
@@ -71,19 +71,19 @@
 
 def test_a_refused_attempt_never_starts_after_the_upstream_returns():
     state = new_executor()
-    give(state, start("runs"))
-    give(state, start("waits"))
+    receive(state, start("runs"))
+    receive(state, start("waits"))
     executor.reduce(state, LEAVES, NOW)
     executor.reduce(state, LEAVES._replace(slots=4, leaving=False), NOW)
-    (refused,) = outcomes(give(state, start("waits")))
+    (refused,) = outcomes(receive(state, start("waits")))
     assert refused.reason == RetryReason.REFUSED_FOR_GOOD.value
-    assert started(give(state, start("new"))) == ["new"]
+    assert started(receive(state, start("new"))) == ["new"]
 
 
 def test_more_slots_start_queued_tasks():
     state = new_executor()
-    give(state, start("runs"))
-    give(state, start("waits"))
+    receive(state, start("runs"))
+    receive(state, start("waits"))
     announced = UpstreamAnnounced(SERVICE, 2, leaving=False)
     assert started(executor.reduce(state, announced, NOW)) == ["waits"]
     assert executor_state.load(state).slots == 2
@@ -92,4 +92,4 @@
 def test_records_are_kept_while_the_upstream_leaves():
     state = new_executor()
     executor.reduce(state, LEAVES, NOW)
-    assert len(give(state, CloseJob(3, 1, 7, ()))) == 1
+    assert len(receive(state, CloseJob(3, 1, 7, ()))) == 1
--- a/tests/core/test_fences.py
+++ b/tests/core/test_fences.py
@@ -41,13 +41,13 @@
     return StartRecord(attempt, 0, START, b"", 3, TaskState.DONE, b"x")
 
 
-def _answer(name, chunk, chunks, tasks=(), covers=()):
+def _ack(name, chunk, chunks, tasks=(), covers=()):
     started = tuple(_record(task) for task in tasks)
     covers = tuple(sorted({name, *covers}))
     return FenceAck(0, 2, name, chunk, chunks, started, (), covers, NOTHING_FORGOTTEN)
 
 
-def _fencing(*others):
+def _fencing_home(*others):
     """Return the state and ownership of a home that has fenced itself and others."""
     state = TakeoverState(_member(HOME), 4)
     former = PartitionRow(0, LEAVER, 1, START, 1)
@@ -55,35 +55,35 @@
     state.owned[0] = ownership
     members = [_member(name) for name in (HOME, *others)]
     start_fencing(state, ownership, members, START)
-    handle_fence_ack(state, _answer(HOME, 0, 1), START)
+    handle_fence_ack(state, _ack(HOME, 0, 1), START)
     return state, ownership
 
 
-def _served(state):
+def _served_notice(state):
     (notice,) = (one for one in pop_notices(state) if isinstance(one, PartitionServed))
     return notice
 
 
 def test_an_incomplete_second_acknowledgement_drops_no_start():
     """A task whose record is in the missing chunk of a second one would start twice."""
-    state, ownership = _fencing(OTHER, LATE)
-    handle_fence_ack(state, _answer(OTHER, 0, 1, tasks=(0, 1)), START)
-    handle_fence_ack(state, _answer(OTHER, 0, 2, tasks=(0,)), START)
-    handle_fence_ack(state, _answer(LATE, 0, 1), START)
+    state, ownership = _fencing_home(OTHER, LATE)
+    handle_fence_ack(state, _ack(OTHER, 0, 1, tasks=(0, 1)), START)
+    handle_fence_ack(state, _ack(OTHER, 0, 2, tasks=(0,)), START)
+    handle_fence_ack(state, _ack(LATE, 0, 1), START)
     assert ownership.phase is Phase.SERVING
-    assert set(_served(state).adopted[KEY].started) == {0, 1}
+    assert set(_served_notice(state).adopted[KEY].started) == {0, 1}
 
 
 def test_a_cover_counts_only_with_all_records_that_came_with_it():
     """With a cover but not its records, a task that ran would count as not started."""
-    state, ownership = _fencing(OTHER, LATE)
-    handle_fence_ack(state, _answer(OTHER, 0, 1), START)
+    state, ownership = _fencing_home(OTHER, LATE)
+    handle_fence_ack(state, _ack(OTHER, 0, 1), START)
     state.members[LATE] = _member(LATE, ended=START)
     stop_waiting_for(ownership, {LATE})
     finish_if_fenced(state, ownership, START)
-    handle_fence_ack(state, _answer(HOME, 0, 1), START)
+    handle_fence_ack(state, _ack(HOME, 0, 1), START)
     assert ownership.awaiting_second_ack == {OTHER}
-    handle_fence_ack(state, _answer(OTHER, 0, 2, covers=(LATE,)), START)
+    handle_fence_ack(state, _ack(OTHER, 0, 2, covers=(LATE,)), START)
     assert ownership.phase is Phase.FENCING
     late = START + SECOND_FENCE_TIMEOUT
     continue_fencing(state, ownership, late - timedelta(milliseconds=1))
--- a/tests/core/test_safeguards.py
+++ b/tests/core/test_safeguards.py
@@ -159,7 +159,7 @@
     ),
     pytest.param(
         record_replication,
-        "OWN_RECORDS",
+        "OWN_RECORDS_EPOCH",
         AnyEpoch(),
         histories.test_a_replaced_home_does_not_tell_on_what_its_successor_placed,
         id="only a current home replicates records of others",
--- a/tests/core/test_sidecar.py
+++ b/tests/core/test_sidecar.py
@@ -70,7 +70,7 @@
     for number in range(8):
         system.submit(system.submission(f"k{number}"))
     system.run(2)
-    assert all(told.answer.kind is None for told in system.delivered)
+    assert all(each.answer.kind is None for each in system.delivered)
     assert len(system.delivered) == 8
 
 
