--- a/gypsumspoke/core/adoption.py
+++ b/gypsumspoke/core/adoption.py
@@ -317,7 +317,7 @@
 # Records of lost executors
 
 
-def send_lost_records(state: HomeState, lost: str, now: datetime) -> list[Effect]:
+def replicate_lost_records(state: HomeState, lost: str, now: datetime) -> list[Effect]:
     """Replicate a lost executor's records to another one, for all owned partitions.
 
     This home holds the same start records. If it failed too, all keys with tasks at the
@@ -330,11 +330,11 @@
             continue
         # An uncovered executor may have started tasks that are unknown here.
         if lost not in ownership.uncovered:
-            effects += _send_lost_records_of(state, ownership, lost, now)
+            effects += _replicate_lost_records_of(state, ownership, lost, now)
     return effects
 
 
-def _send_lost_records_of(
+def _replicate_lost_records_of(
     state: HomeState, ownership: Ownership, lost: str, now: datetime
 ) -> list[Effect]:
     others = state.takeover.available_peers()
@@ -408,11 +408,11 @@
 def resend_lost_records(state: HomeState, now: datetime) -> list[Effect]:
     """Resend unacknowledged records, except for partitions no longer owned."""
     effects: list[Effect] = []
-    for (partition, source), transfer in list(state.record_transfers.items()):
+    for place, transfer in list(state.record_transfers.items()):
         if now - transfer.sent < state.policy.takeover_after:
             continue
-        del state.record_transfers[partition, source]
-        ownership = state.serving(partition)
-        if ownership is not None and source.endswith(f"@{ownership.epoch}"):
-            effects += _send_lost_records_of(state, ownership, transfer.lost, now)
+        del state.record_transfers[place]
+        ownership = state.serving(place[0])
+        if ownership is not None and place[1].endswith(f"@{ownership.epoch}"):
+            effects += _replicate_lost_records_of(state, ownership, transfer.lost, now)
     return effects
--- a/tests/core/test_rolling.py
+++ b/tests/core/test_rolling.py
@@ -86,16 +86,16 @@
 
     def _deliver_some(self) -> None:
         for _ in range(self.random.randrange(30)):
-            if self.system.flights:
-                self._deliver_first(_link(self.random.choice(self.system.flights)))
+            if self.system.in_transit:
+                self._deliver_first(_link(self.random.choice(self.system.in_transit)))
 
     def _deliver_first(self, link: tuple[str, str]) -> None:
-        flights = enumerate(self.system.flights)
+        flights = enumerate(self.system.in_transit)
         self.system.deliver(next(n for n, flight in flights if _link(flight) == link))
 
     def _handle_answers(self) -> None:
-        answers = self.system.told[self.seen :]
-        self.seen = len(self.system.told)
+        answers = self.system.delivered[self.seen :]
+        self.seen = len(self.system.delivered)
         for each in answers:
             if each.answer.kind in RETRYABLE:
                 self.system.submit(self.submissions[each.key])
@@ -116,7 +116,7 @@
         for _ in range(MAX_DELIVERIES):
             moving = [
                 link
-                for link in map(_link, self.system.flights)
+                for link in map(_link, self.system.in_transit)
                 if self.stalled_until.get(link, 0) <= self.steps
             ]
             if not moving:
@@ -150,7 +150,7 @@
     while True:
         places = (
             place
-            for place, flight in enumerate(system.flights)
+            for place, flight in enumerate(system.in_transit)
             if not is_withheld(flight)
         )
         first = next(places, None)
@@ -254,7 +254,7 @@
         return flight.to == leaving and isinstance(flight.message, StartTask)
 
     _tick_withholding(system, is_start)
-    assert any(map(is_start, system.flights))
+    assert any(map(is_start, system.in_transit))
     _replace(system, leaving, is_start)
     (answer,) = system.answers(submission.key)
     assert (answer.kind, answer.work) == (None, Work.RAN)
--- a/tests/core/test_takeover.py
+++ b/tests/core/test_takeover.py
@@ -109,7 +109,7 @@
     system.run(TAKEOVER_SECONDS)
     system.submit(submission)
     system.run(1)
-    system.wake(former)
+    system.resume(former)
     system.submit(submission, to=former)
     system.run(2)
     assert set(system.starts(submission.key).values()) == {1}
@@ -400,7 +400,7 @@
     assert answer.kind is ErrorKind.TAKEOVER_IN_PROGRESS
     assert answer.work is Work.UNKNOWN
     assert not system.started
-    system.wake(silent)
+    system.resume(silent)
     system.run(3)
     system.submit(submission._replace(birth=system.now))
     system.run(1)
@@ -424,7 +424,7 @@
     epoch = 1
     home = system.nodes[former].state.home
     assert home.takeover.owned[0].epoch == epoch
-    system.wake(former)
+    system.resume(former)
     start = _start_of(submission, system, epoch)
     system.post(joined, Received(former, start))
     system.deliver_all()
--- a/tests/runs/test_behind.py
+++ b/tests/runs/test_load_shedding.py
@@ -123,13 +123,13 @@
     assert reasons[EndReason.SIDECAR_SILENT] == 0
     assert reasons[EndReason.ORDER_STALE] == 0
     assert reasons[RefusalReason.ISOLATED] == 0
-    assert not world.broken
+    assert not world.violations
 
 
 def test_an_entry_takes_all_jobs_again_when_the_load_is_over():
     world = play(CARRIED * 3).world
     state = world.processes[ENTRY].state
-    assert state.load.refused_share == 0
+    assert state.load_shedder.refused_share == 0
     assert not state.jobs
 
 
@@ -176,7 +176,7 @@
     world = World(entries=1, sidecars=2)
     world.run(ms(1510))
     entry = world.processes[ENTRY]
-    late = world.now + world.budget.order_fresh
+    late = world.now + world.budget.max_placement_age
     event = JobArrived("r1", job("j1"), ROUTE, late + ms(5000))
     arrival = Arrival(world.now, world.now, world.now)
     effects = entry.reduce(entry.state, Timed(arrival, event), late)
