--- a/tests/core/test_safeguards.py
+++ b/tests/core/test_safeguards.py
@@ -129,7 +129,7 @@
         fences,
         "_find_uncovered",
         _find_uncovered_except_former_owner,
-        takeover_tests.test_a_failure_before_records_were_replicated_makes_old_keys_unknown,
+        takeover_tests.test_a_failure_before_replication_makes_old_keys_unknown,
         id="the former owner's executor must be covered",
     ),
     pytest.param(
--- a/tests/core/test_takeover.py
+++ b/tests/core/test_takeover.py
@@ -201,7 +201,7 @@
         assert set(system.starts(submission.key).values()) == {1}
 
 
-def test_a_failure_before_records_were_replicated_makes_old_keys_unknown():
+def test_a_failure_before_replication_makes_old_keys_unknown():
     """A home fails after a takeover, before it replicated its executor's records.
 
     These were the only records of the starts, so the answer must be "unknown".
