--- a/gypsumspoke/core/inquiries.py
+++ b/gypsumspoke/core/inquiries.py
@@ -36,7 +36,7 @@
     effects: list[Effect] = []
     for partition in sorted(_open_partitions(state, lost)):
         effects += _start_inquiry(state, partition, lost, True, now)
-    return effects or adoption.send_lost_records(state, lost, now)
+    return effects or adoption.replicate_lost_records(state, lost, now)
 
 
 def tick(state: HomeState, now: datetime) -> list[Effect]:
@@ -164,7 +164,7 @@
     if others:
         others[0].transfers_records = True
         return []
-    return adoption.send_lost_records(state, inquiry.lost, now)
+    return adoption.replicate_lost_records(state, inquiry.lost, now)
 
 
 def _outcome(
