--- a/gypsumspoke/core/adoption.py
+++ b/gypsumspoke/core/adoption.py
@@ -1,4 +1,4 @@
-"""Adopts jobs of a former owner, hands partitions over and sends lost records on.
+"""Adopts jobs of former owners, hands partitions over and replicates lost records.
 
 A resubmission brings the task bodies and the executors' records show what started, so
 a new home can resume a job: it follows running tasks, uses results that executors kept
@@ -317,8 +317,8 @@
 # Records of lost executors
 
 
-def send_lost_records(state: HomeState, lost: str, now: datetime) -> list[Effect]:
-    """Send the records of a lost executor to another one, for all owned partitions.
+def replicate_lost_records(state: HomeState, lost: str, now: datetime) -> list[Effect]:
+    """Replicate a lost executor's records to another one, for all owned partitions.
 
     This home holds the same start records. If it failed too, all keys with tasks at the
     lost executor would become unknown; the additional replica prevents that.
@@ -330,11 +330,11 @@
             continue
         # An uncovered executor may have started tasks that are unknown here.
         if lost not in ownership.uncovered:
-            effects += _send_lost_records_of(state, ownership, lost, now)
+            effects += _replicate_lost_records_of(state, ownership, lost, now)
     return effects
 
 
-def _send_lost_records_of(
+def _replicate_lost_records_of(
     state: HomeState, ownership: Ownership, lost: str, now: datetime
 ) -> list[Effect]:
     others = state.takeover.available_peers()
@@ -414,5 +414,5 @@
         del state.record_transfers[place]
         ownership = state.serving(place[0])
         if ownership is not None and place[1].endswith(f"@{ownership.epoch}"):
-            effects += _send_lost_records_of(state, ownership, transfer.lost, now)
+            effects += _replicate_lost_records_of(state, ownership, transfer.lost, now)
     return effects
--- a/gypsumspoke/runs/sidecar_views.py
+++ b/gypsumspoke/runs/sidecar_views.py
@@ -54,7 +54,7 @@
         budget: Budget = DEFAULT_BUDGET,
     ) -> None:
         self.budget = budget
-        self.max_report_age = budget.order_fresh
+        self.max_report_age = budget.max_placement_age
         self.incarnation = incarnation
         self.host = host
         self.pace = DEFAULT_PACE
@@ -98,7 +98,7 @@
     @property
     def runs_dead_at(self) -> datetime:
         """When all runs placed there have ended for certain if it stays silent."""
-        return self.last_sent_at + self.budget.runs_dead_after
+        return self.last_sent_at + self.budget.run_expiry
 
 
 def update_report(view: SidecarView, report: WorkerReport, read: datetime) -> None:
--- a/tests/core/system.py
+++ b/tests/core/system.py
@@ -1,7 +1,7 @@
-"""A small system of reducers for tests: virtual time, one table, a bag of messages.
+"""Test harness: a simulated system of reducers with virtual time and one table.
 
-Nothing here decides anything. Tests choose what is delivered, dropped or repeated, who
-is killed or paused, and read what the callers were told and what was started.
+Tests control which messages are delivered, dropped or repeated and which processes are
+killed or paused, and read the callers' answers and the started tasks.
 """
 
 import json
@@ -64,7 +64,7 @@
 
 
 class Table:
-    """The platform's table: rows with versions, compare-and-set, outages."""
+    """The platform's table: versioned rows, compare-and-set, outages."""
 
     def __init__(self):
         self.rows = {}
@@ -105,16 +105,16 @@
         self.offset = timedelta(0)
 
 
-class Flight(NamedTuple):
-    """A message on its way."""
+class Envelope(NamedTuple):
+    """A message in transit."""
 
     sender: str
     to: str
     message: object
 
 
-class Told(NamedTuple):
-    """An answer that a caller got, and when in the order of events."""
+class DeliveredAnswer(NamedTuple):
+    """An answer delivered to a caller, with its position in the order of events."""
 
     order: int
     key: JobKey
@@ -138,8 +138,8 @@
     Args:
       workers: number of workers to start.
       partitions: number of partitions.
-      seed: for choices of the system itself.
-      slots: tasks that each worker runs at once.
+      seed: seed of the system's own random choices.
+      slots: maximum number of concurrent tasks of each worker.
     """
 
     def __init__(self, workers=3, partitions=4, seed=0, slots=2):
@@ -150,11 +150,11 @@
         self.table = Table()
         self.table.write((), ((MANIFEST_KEY, json.dumps({})),))
         self.nodes = {}
-        self.flights = []
+        self.in_transit = []
         self.links = set()
         self.cuts = set()
         self.is_lost = lambda message: False
-        self.told = []
+        self.delivered = []
         self.started = []
         self.counts = Tally()
         self.requests = {}
@@ -195,13 +195,13 @@
             self._unlink(link)
 
     def pause(self, incarnation):
-        """Stop a process; its peers find it silent and drop the connections."""
+        """Suspend a process; its connections drop."""
         self.nodes[incarnation].paused = True
         for link in [link for link in self.links if incarnation in link]:
             self._unlink(link)
 
-    def wake(self, incarnation):
-        """Let a process go on with what had reached it before the pause."""
+    def resume(self, incarnation):
+        """Resume a paused process, which first handles the events queued for it."""
         node = self.nodes[incarnation]
         node.paused = False
         backlog, node.backlog = node.backlog, []
@@ -218,13 +218,13 @@
             self.post(name, PeerLost(other))
 
     def cut(self, one, other):
-        """Let nothing pass between two processes, silently."""
+        """Drop all messages between two processes."""
         link = frozenset((one, other))
         self.cuts.add(link)
         if link in self.links:
             self._unlink(link)
 
-    def heal(self):
+    def restore_links(self):
         self.cuts.clear()
 
     # -- events ---------------------------------------------------------------
@@ -257,20 +257,20 @@
 
     def _send(self, name, effect):
         if isinstance(effect.message, JobAnswer):
-            self.flights.append(Flight(name, effect.to, effect.message))
+            self.in_transit.append(Envelope(name, effect.to, effect.message))
             return
         link = frozenset((name, effect.to))
         target = self.nodes.get(effect.to)
         reachable = target is not None and target.alive and not target.paused
         if not reachable or link in self.cuts:
-            # The dial fails, which the sender is told.
+            # The connection attempt fails, and the sender is notified.
             self.post(name, PeerLost(effect.to))
             return
         if link not in self.links:
             self.links.add(link)
             self.post(name, PeerConnected(effect.to))
             self.post(effect.to, PeerConnected(name))
-        self.flights.append(Flight(name, effect.to, effect.message))
+        self.in_transit.append(Envelope(name, effect.to, effect.message))
 
     def _start(self, node, effect):
         self.order += 1
@@ -298,7 +298,7 @@
                     self.post(name, event)
 
     def finish_one(self, name, attempt, outcome):
-        """End one task at an upstream; NOT_RUN means that nothing was sent to it."""
+        """Finish one task at an upstream; NOT_RUN means that nothing was sent to it."""
         node = self.nodes[name]
         body = node.running.pop(attempt)
         if outcome is Outcome.NOT_RUN:
@@ -311,13 +311,13 @@
             ]
         self.post(name, UpstreamAnswered(attempt, outcome, b"ok:" + body, ""))
 
-    def lose_connection(self, link):
-        """Drop a connection with all that is on its way on it."""
-        self.flights = [
-            flight
-            for flight in self.flights
-            if isinstance(flight.message, JobAnswer)
-            or frozenset((flight.sender, flight.to)) != link
+    def drop_connection(self, link):
+        """Drop a connection with all messages in transit on it."""
+        self.in_transit = [
+            envelope
+            for envelope in self.in_transit
+            if isinstance(envelope.message, JobAnswer)
+            or frozenset((envelope.sender, envelope.to)) != link
         ]
         self._unlink(link)
 
@@ -341,30 +341,30 @@
 
     # -- messages ---------------------------------------------------------------
 
-    def deliver(self, place=0):
-        """Deliver one message on its way."""
-        flight = self.flights.pop(place)
-        if isinstance(flight.message, JobAnswer):
-            self._tell(flight.message)
+    def deliver(self, index=0):
+        """Deliver one message in transit."""
+        envelope = self.in_transit.pop(index)
+        if isinstance(envelope.message, JobAnswer):
+            self._deliver_answer(envelope.message)
             return
-        if frozenset((flight.sender, flight.to)) in self.cuts:
+        if frozenset((envelope.sender, envelope.to)) in self.cuts:
             return
-        if self.is_lost(flight.message):
+        if self.is_lost(envelope.message):
             return
-        self.post(flight.to, Received(flight.sender, flight.message))
+        self.post(envelope.to, Received(envelope.sender, envelope.message))
 
-    def _tell(self, message):
+    def _deliver_answer(self, message):
         key, attempt = self.requests[message.request]
         assert message.key == key, "an answer reached another caller"
         self.order += 1
-        self.told.append(Told(self.order, key, attempt, message.answer))
+        self.delivered.append(DeliveredAnswer(self.order, key, attempt, message.answer))
 
     def deliver_all(self, limit=20_000):
         for _ in range(limit):
-            if not self.flights:
+            if not self.in_transit:
                 return
             self.deliver()
-        raise AssertionError("messages don't come to rest")
+        raise AssertionError(f"messages still in transit after {limit} deliveries")
 
     def tick(self):
         self.now += STEP
@@ -372,7 +372,7 @@
             self.post(name, Tick())
 
     def run(self, seconds):
-        """Let time pass; everything is delivered and every upstream answers."""
+        """Advance the time; deliver all messages and finish all upstream tasks."""
         for _ in range(int(timedelta(seconds=seconds) / STEP)):
             self.tick()
             self.deliver_all()
@@ -401,14 +401,14 @@
         return json.loads(row.value)["owner"] if row else None
 
     def submit(self, submission, to=None, wait=True):
-        """Send a copy as an entry would; to the owner unless told otherwise."""
+        """Send a submission as an entry would, by default to the owner."""
         partition = partition_of(submission.key, self.partitions)
         request = f"r{len(self.requests)}"
         self.requests[request] = (submission.key, submission.attempt)
         message = SubmitJob(request, partition, submission, wait)
         target = to or self.owner(submission.key)
         if target is not None:
-            self.flights.append(Flight("entry", target, message))
+            self.in_transit.append(Envelope("entry", target, message))
         return request
 
     def cancel(self, key, to=None):
@@ -416,10 +416,10 @@
         request = f"r{len(self.requests)}"
         self.requests[request] = (key, -1)
         message = CancelJob(request, partition, key)
-        self.flights.append(Flight("entry", to or self.owner(key), message))
+        self.in_transit.append(Envelope("entry", to or self.owner(key), message))
 
     def answers(self, key):
-        return [told.answer for told in self.told if told.key == key]
+        return [each.answer for each in self.delivered if each.key == key]
 
     def starts(self, key):
         return Tally(start.task for start in self.started if start.key == key)
--- a/tests/runs/test_load.py
+++ b/tests/runs/test_load.py
@@ -123,7 +123,7 @@
     assert reasons[EndReason.SIDECAR_SILENT] == 0
     assert reasons[EndReason.ORDER_STALE] == 0
     assert reasons[RefusalReason.ISOLATED] == 0
-    assert not world.broken
+    assert not world.violations
 
 
 def test_an_entry_accepts_all_jobs_again_after_an_overload():
@@ -176,7 +176,7 @@
     world = World(entries=1, sidecars=2)
     world.run(ms(1510))
     entry = world.processes[ENTRY]
-    late = world.now + world.budget.order_fresh
+    late = world.now + world.budget.max_placement_age
     event = JobArrived("r1", job("j1"), ROUTE, late + ms(5000))
     arrival = Arrival(world.now, world.now, world.now)
     effects = entry.reduce(entry.state, Timed(arrival, event), late)
--- a/tests/runs/test_reports.py
+++ b/tests/runs/test_reports.py
@@ -1,9 +1,9 @@
 """Reports of a worker's room to entries, and placements that find no room."""
 
 from gypsumspoke.core.effects import Send
-from gypsumspoke.runs.budget import LONGEST_TICK
-from gypsumspoke.runs.guard_report import CHANGE_INTERVAL
+from gypsumspoke.runs.budget import MAX_TICK
 from gypsumspoke.runs.messages import Pulse, WorkerReport
+from gypsumspoke.runs.supervisor_report import CHANGE_REPORT_INTERVAL
 from gypsumspoke.runs.values import JobEnd
 from gypsumspoke.shell.run_role import SILENCE_LIMIT
 from tests.runs.test_job_lifecycle import settled
@@ -33,7 +33,7 @@
 
 def test_changes_of_room_are_reported_to_all_entries_soon():
     world = settled(sidecars=1)
-    world.run(CHANGE_INTERVAL)
+    world.run(CHANGE_REPORT_INTERVAL)
     world.submit("entry0", "r0", job("j0", count=1))
     world.run(ms(5))
     (view,) = world.processes["entry1"].state.views.values()
@@ -72,7 +72,7 @@
     world.run(ms(800))
     times = [time for time in pulse_times(world, "entry0") if time > start]
     gaps = [later - time for time, later in zip([start, *times], times)]
-    assert max(gaps) <= 2 * LONGEST_TICK
+    assert max(gaps) <= 2 * MAX_TICK
     assert len(times) >= 6
 
 
@@ -87,7 +87,7 @@
     world.submit("entry1", "r1", job("j0", count=1))
     world.run(ms(600))
     assert world.end_of("r1") is JobEnd.COMPLETED
-    assert not world.broken
+    assert not world.violations
     assert world.end_of("r0") is JobEnd.GIVEN_UP
     assert len(world.starts_of("j0")) == 2
 
--- a/tests/runs/test_walks.py
+++ b/tests/runs/test_walks.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests.runs.walk import IsolationWalk, CommandFaultWalk, Walk
+from tests.runs.walk import CommandFaultWalk, IsolationWalk, Walk
 
 # 26: a worker restarted between two renewals; a run on its new incarnation was taken
 # for lost with those of the old one and placed a second time.
--- a/tests/runs/walk.py
+++ b/tests/runs/walk.py
@@ -18,9 +18,9 @@
 
 from gypsumspoke.runs.budget import DEFAULT_BUDGET, Budget
 from gypsumspoke.runs.coordinator_state import AnswerJob
-from gypsumspoke.runs.orders import HoldOrder, StartOrder, StopOrder
 from gypsumspoke.runs.values import JobEnd
-from tests.runs.world import Fate, World, job, ms
+from gypsumspoke.runs.worker_commands import RenewCommand, StartCommand, StopCommand
+from tests.runs.world import Delivery, World, job, ms
 
 ENTRIES = ("entry0", "entry1")
 SIDES = ("side0", "side1", "side2")
@@ -53,7 +53,7 @@
         self.world.run(ms(15_000))
         self._check_refusals()
         self._check_service()
-        return self.world.broken
+        return self.world.violations
 
     def _step(self) -> None:
         self.random.choice(self._steps())()
@@ -114,7 +114,7 @@
 
     def _abandon_request(self, host: str, incarnation: str, request: str) -> None:
         if not self._is_lost(host, incarnation):
-            self.world.leave(host, request)
+            self.world.close_request(host, request)
 
     def _resubmit_after_delay(self, name: str, count: int) -> None:
         host = self.random.choice(ENTRIES)
@@ -131,7 +131,7 @@
         if waiting:
             _, request = self.random.choice(waiting)
             for host in ENTRIES:
-                self.world.leave(host, request)
+                self.world.close_request(host, request)
 
     def _restart(self) -> None:
         host = self.random.choice(ENTRIES + SIDES)
@@ -196,7 +196,7 @@
         for name, tries in self.tries.items():
             ends = {self.world.end_of(request) for request in tries}
             if ends == {JobEnd.NOT_RUN} and name in started:
-                self.world.broken.append(f"{name} ran and was answered as not run")
+                self.world.violations.append(f"{name} ran and was answered as not run")
 
     def _check_service(self) -> None:
         for host in ENTRIES:
@@ -208,7 +208,7 @@
             self.world.submit(host, name, job(name, 3), ms(4000))
             self.world.run(ms(4000))
             if self.world.end_of(name) is not JobEnd.COMPLETED:
-                self.world.broken.append(f"{host} does not serve after the faults")
+                self.world.violations.append(f"{host} does not serve after the faults")
 
 
 class IsolationWalk(Walk):
@@ -274,9 +274,9 @@
         super().__init__(seed, budget)
         self.faults: dict[tuple[str, type], Fault] = {}
         self.open: dict[str, OpenRequest] = {}
-        self.world.fate = self._fate
+        self.world.delivery = self._draw_delivery
         self.world.on_answer = self._handle_answer
-        self.world.wakes_with_a_tick = True
+        self.world.tick_on_wake = True
         for host in SIDES:
             self.world.clock_rate[host] = self.random.choice((1.0, 0.98))
             self.world.pace[host] = self.random.choice((1.0, 3.0, 8.0))
@@ -295,11 +295,11 @@
         hosts = self.random.choice((*((side,) for side in SIDES), SIDES))
         kinds = self.random.choice(
             (
-                (StartOrder,),
-                (StopOrder,),
-                (HoldOrder,),
-                (StartOrder, StopOrder),
-                (StartOrder, StopOrder, HoldOrder),
+                (StartCommand,),
+                (StopCommand,),
+                (RenewCommand,),
+                (StartCommand, StopCommand),
+                (StartCommand, StopCommand, RenewCommand),
             )
         )
         fault = Fault(
@@ -315,13 +315,13 @@
         host = self.random.choice(SIDES)
         after = ms(self.random.choice((1500, 5000)))
         for command, kind in (
-            (StartOrder, FaultKind.MIXED),
-            (HoldOrder, FaultKind.SLOW),
+            (StartCommand, FaultKind.MIXED),
+            (RenewCommand, FaultKind.SLOW),
         ):
             self.faults[host, command] = Fault(kind, self.random.choice((0.5, 1.0)))
             self.world.at(after, partial(self.faults.pop, (host, command), None))
 
-    def _fate(self, host: str, command: Any) -> Fate | None:
+    def _draw_delivery(self, host: str, command: Any) -> Delivery | None:
         fault = self.faults.get((host, type(command)))
         if fault is None or self.random.random() >= fault.share:
             return None
@@ -333,14 +333,14 @@
         match kind:
             case FaultKind.ANSWER_LOST:
                 arrives = self.random.choice((0, self.random.uniform(0, 20)))
-                return Fate(ms(arrives), None, timeout)
+                return Delivery(ms(arrives), None, timeout)
             case FaultKind.LOST:
-                return Fate(None, None, timeout)
+                return Delivery(None, None, timeout)
             case FaultKind.LATE:
-                return Fate(ms(self.random.uniform(2000, 12000)), None)
+                return Delivery(ms(self.random.uniform(2000, 12000)), None)
         max_delay = self.random.choice((8, 80))
         arrives = ms(self.random.uniform(0, max_delay))
-        return Fate(arrives, ms(self.random.uniform(0, max_delay)))
+        return Delivery(arrives, ms(self.random.uniform(0, max_delay)))
 
     # Callers
 
