--- a/gypsumspoke/parser/documents.py
+++ b/gypsumspoke/parser/documents.py
@@ -67,7 +67,7 @@
         return Failure(DocumentError("", f"not JSON with comments: {error}"))
 
 
-def plain_json(text: str) -> Result[str, DocumentError]:
+def to_strict_json(text: str) -> Result[str, DocumentError]:
     """Return the document as strict JSON for programs that don't read comments.
 
     Text that is strict JSON already comes back unchanged, digit by digit.
--- a/gypsumspoke/parser/job_request.py
+++ b/gypsumspoke/parser/job_request.py
@@ -18,7 +18,7 @@
 
 from gypsumspoke.core.values import MAX_TASKS, JobKey, Submission, Task
 
-BODY_LIMIT = 1024 * 1024
+MAX_BODY_BYTES = 1024 * 1024
 MAX_KEY_LENGTH = 200
 MAX_NAME_LENGTH = 100
 MAX_ATTEMPT = 2**53
@@ -88,7 +88,7 @@
     """Return the submission that a request body describes.
 
     Args:
-      body: JSON text, at most ``BODY_LIMIT`` bytes.
+      body: JSON text, at most ``MAX_BODY_BYTES`` bytes.
       now: time of arrival; the deadline counts from here.
 
     Returns:
--- a/gypsumspoke/platform/callers.py
+++ b/gypsumspoke/platform/callers.py
@@ -81,7 +81,7 @@
         self._configured = Event()
         self._has_ended = False
 
-    def note_configured(self, effect: FirstConfiguration) -> None:
+    def on_first_configuration(self, effect: FirstConfiguration) -> None:
         """Let the requests go on that wait for the first configuration."""
         self._configured.set()
 
@@ -89,7 +89,7 @@
         """Hand an answer to the request that waits for it."""
         self._waiters.deliver(effect.request, effect)
 
-    def give_up_all(self) -> None:
+    def abort_all(self) -> None:
         """Answer all who wait, and from now on refuse at once: the loop has ended.
 
         Without this their connections would stay open without an answer until the
--- a/gypsumspoke/platform/kept_patience.py
+++ b/gypsumspoke/platform/entry_store.py
@@ -11,7 +11,7 @@
 from gypsumspoke.runs.caller_timeouts import CallerTimeoutsRead, StoreCallerTimeouts
 from gypsumspoke.runs.settings import RunSettings
 
-PATIENCE_TABLE = "gypsumspoke-patience"
+CALLER_TIMEOUTS_TABLE = "gypsumspoke-patience"
 _MILLISECOND = timedelta(milliseconds=1)
 
 _log = logging.getLogger(__name__)
@@ -34,12 +34,12 @@
     ) -> None:
         super().__init__(settings.store, watches)
         self._instance = settings.instance
-        self.read_once(PATIENCE_TABLE, partial(_take_kept, post))
+        self.read_once(CALLER_TIMEOUTS_TABLE, partial(_take_kept, post))
 
-    def keep_patience(self, effect: StoreCallerTimeouts) -> None:
+    def store_caller_timeouts(self, effect: StoreCallerTimeouts) -> None:
         """Write this entry's row; returns at once."""
         usual = {route: value // _MILLISECOND for route, value in effect.usual}
-        self.put(PATIENCE_TABLE, self._instance, json.dumps(usual).encode())
+        self.put(CALLER_TIMEOUTS_TABLE, self._instance, json.dumps(usual).encode())
 
 
 def _take_kept(post: Callable[[Any], None], rows: dict[str, bytes]) -> None:
--- a/gypsumspoke/platform/jobs.py
+++ b/gypsumspoke/platform/jobs.py
@@ -10,11 +10,11 @@
 from gypsumspoke.runs.values import Job, Room, Step
 
 # From the platform's pages.
-MOST_SPEC_BYTES = 4000
+MAX_SPEC_BYTES = 4000
 # Many times the widest job that the users send; one with more is a mistake, and would
 # hold the entry up for everybody else while it is placed.
-MOST_TASKS = 1000
-MOST_STEPS = 100
+MAX_TASKS = 1000
+MAX_STEPS = 100
 
 _ID = re.compile(r"[0-9a-f]{16}")
 # Kinds of work that need the job to be stored, or several tasks to act as one.
@@ -62,13 +62,13 @@
         raise Unsupported("jobs that must be stored are not served")
     spec = fields.get("spec", "")
     _check(isinstance(spec, str), "spec is not a text")
-    _check(len(spec.encode()) <= MOST_SPEC_BYTES, "spec is too long")
+    _check(len(spec.encode()) <= MAX_SPEC_BYTES, "spec is too long")
     steps = fields["steps"]
     _check(isinstance(steps, list) and steps, "steps is not a list with a step")
-    _check(len(steps) <= MOST_STEPS, f"more than {MOST_STEPS} steps")
+    _check(len(steps) <= MAX_STEPS, f"more than {MAX_STEPS} steps")
     decoded = tuple(_step(number, step) for number, step in enumerate(steps))
     tasks = sum(step.count for step in decoded)
-    _check(tasks <= MOST_TASKS, f"{tasks} tasks, more than {MOST_TASKS}")
+    _check(tasks <= MAX_TASKS, f"{tasks} tasks, more than {MAX_TASKS}")
     return Job(job_id, spec, decoded)
 
 
--- a/gypsumspoke/platform/names.py
+++ b/gypsumspoke/platform/names.py
@@ -11,7 +11,7 @@
     return f"{task.job}.{_ONLY_OCCURRENCE}.{task.step}.{task.index}"
 
 
-def run_of(name: str, number: int) -> RunId:
+def parse_run_id(name: str, number: int) -> RunId:
     """Return the run that a worker lists.
 
     Raises:
--- a/gypsumspoke/platform/roles.py
+++ b/gypsumspoke/platform/roles.py
@@ -12,7 +12,7 @@
 
 from gypsumspoke.core.clock import SteadyClock
 from gypsumspoke.platform.configuration import parse_configuration
-from gypsumspoke.platform.kept_patience import EntryStore
+from gypsumspoke.platform.entry_store import EntryStore
 from gypsumspoke.platform.settings import read_settings, settings_path
 from gypsumspoke.platform.store import Store, Watch
 from gypsumspoke.runs.coordinator_state import ConfigurationChanged
--- a/gypsumspoke/platform/store.py
+++ b/gypsumspoke/platform/store.py
@@ -23,11 +23,11 @@
 _CONNECT_TIMEOUT = timedelta(milliseconds=500)
 _ANSWER_BYTES = 8 * 1024 * 1024
 # Many times what an answer takes, since the store may be slow.
-CALL_WITHIN = timedelta(milliseconds=800)
+CALL_TIMEOUT = timedelta(milliseconds=800)
 # Pause after a failed call, so that an outage brings few calls: they are priced, and
 # what is beyond the store's rates is refused. One second of it is still well inside the
 # time in which a change must be in force.
-RETRY_PAUSE = timedelta(milliseconds=400)
+RETRY_DELAY = timedelta(milliseconds=400)
 
 _log = logging.getLogger(__name__)
 
@@ -105,7 +105,7 @@
     ) -> None:
         read = self._read_table(table)
         while not is_successful(read):
-            gevent.sleep(RETRY_PAUSE.total_seconds())
+            gevent.sleep(RETRY_DELAY.total_seconds())
             read = self._read_table(table)
         rows, _ = read.unwrap()
         on_rows(rows)
@@ -115,7 +115,7 @@
         while (table, key) in self._unwritten:
             value = self._unwritten[table, key]
             if not is_successful(self._write(table, key, value)):
-                gevent.sleep(RETRY_PAUSE.total_seconds())
+                gevent.sleep(RETRY_DELAY.total_seconds())
             elif self._unwritten[table, key] is value:
                 del self._unwritten[table, key]
 
@@ -128,7 +128,7 @@
         }
         body = {"expected_revision": [], "puts": [row], "remove": []}
         request = Request("POST", "/v1/rows-tx", _JSON, json.dumps(body).encode())
-        return self._call(request, CALL_WITHIN)
+        return self._call(request, CALL_TIMEOUT)
 
     def _follow(self, watch: Watch) -> None:
         while True:
@@ -137,7 +137,7 @@
             except Exception:
                 # A row in an unknown form must not end the watch for good.
                 _log.exception({"message": "watch failed", "table": watch.table})
-            gevent.sleep(RETRY_PAUSE.total_seconds())
+            gevent.sleep(RETRY_DELAY.total_seconds())
 
     def _follow_until_lost(self, watch: Watch) -> None:
         """Read the table whole, then take its changes until a call fails."""
@@ -170,7 +170,7 @@
         query = {"table": table, "part": ""}
         while True:
             request = Request("GET", "/v1/rows-get?" + urlencode(query), {})
-            answer = self._call(request, CALL_WITHIN)
+            answer = self._call(request, CALL_TIMEOUT)
             if not is_successful(answer):
                 return answer
             fields = answer.unwrap()
@@ -191,7 +191,7 @@
             "wait_ms": watch.wait // timedelta(milliseconds=1),
         }
         request = Request("GET", "/v1/rows-feed?" + urlencode(query), {})
-        answer = self._call(request, watch.wait + CALL_WITHIN)
+        answer = self._call(request, watch.wait + CALL_TIMEOUT)
         if not is_successful(answer):
             return answer
         fields = answer.unwrap()
--- a/gypsumspoke/platform/worker.py
+++ b/gypsumspoke/platform/worker.py
@@ -11,7 +11,7 @@
 from returns.result import Result
 
 from gypsumspoke.core.clock import Clock
-from gypsumspoke.platform.names import run_of, task_name
+from gypsumspoke.platform.names import parse_run_id, task_name
 from gypsumspoke.runs.settings import Address
 from gypsumspoke.runs.supervisor_renewals import COMMAND_TIMEOUT
 from gypsumspoke.runs.values import RunEnd
@@ -110,7 +110,7 @@
             self._order, CommandKind.STOP, "/v1/run-stop", order.run, order.worker, body
         )
 
-    def hold(self, order: RenewCommand) -> None:
+    def renew(self, order: RenewCommand) -> None:
         """Extend the lease and ask for the lists; returns at once."""
         gevent.spawn(self._hold, order)
 
@@ -214,10 +214,10 @@
 
 
 def _running(row: list) -> RunningRun:
-    return RunningRun(run_of(row[0], row[1]), int(row[3]))
+    return RunningRun(parse_run_id(row[0], row[1]), int(row[3]))
 
 
 def _ended(row: list) -> EndedRun:
     return EndedRun(
-        int(row[0]), run_of(row[1], row[2]), _ENDS[row[3]], row[3] == "lapsed"
+        int(row[0]), parse_run_id(row[1], row[2]), _ENDS[row[3]], row[3] == "lapsed"
     )
--- a/gypsumspoke/shell/entry_http.py
+++ b/gypsumspoke/shell/entry_http.py
@@ -27,7 +27,11 @@
 from gypsumspoke.core.forwarding import DEADLINE_GRACE
 from gypsumspoke.core.refusals import refusal_answer
 from gypsumspoke.core.values import Answer, JobKey
-from gypsumspoke.parser.job_request import BODY_LIMIT, RequestError, parse_job_request
+from gypsumspoke.parser.job_request import (
+    MAX_BODY_BYTES,
+    RequestError,
+    parse_job_request,
+)
 from gypsumspoke.shell.http_answers import (
     Environ,
     HttpAnswer,
@@ -97,10 +101,10 @@
 
     def _submit(self, environ: Environ) -> HttpAnswer:
         try:
-            body = read_body(environ, BODY_LIMIT)
+            body = read_body(environ, MAX_BODY_BYTES)
         except TooLarge:
             return self._refuse(
-                ErrorKind.BODY_TOO_LARGE, f"at most {BODY_LIMIT} bytes are taken"
+                ErrorKind.BODY_TOO_LARGE, f"at most {MAX_BODY_BYTES} bytes are taken"
             )
         except OSError:
             return self._refuse(ErrorKind.INVALID_REQUEST, "the body ended early")
--- a/gypsumspoke/shell/run_entry.py
+++ b/gypsumspoke/shell/run_entry.py
@@ -34,7 +34,7 @@
 class EntryStorePort(StorePort, Protocol):
     """What an entry asks of the store."""
 
-    def keep_patience(self, effect: StoreCallerTimeouts) -> None:
+    def store_caller_timeouts(self, effect: StoreCallerTimeouts) -> None:
         """Keep what was learned of callers; returns at once."""
 
 
@@ -44,7 +44,7 @@
     Attributes:
       parse_configuration: reads a configuration's text.
       open_callers: makes the WSGI application towards callers, with ``deliver``,
-        ``note_configured`` and ``give_up_all``, from the functions that post an event
+        ``on_first_configuration`` and ``abort_all``, from the functions that post an event
         and count a refusal, the clock and the state.
       readiness: makes the WSGI application that tells whether this entry is ready.
       open_store: makes the store's client from the settings and the post function.
@@ -93,7 +93,7 @@
         )
         callers = adapter.open_callers(runtime.post, side.metrics.count, clock, state)
         runtime.handle(AnswerJob, callers.deliver)
-        runtime.handle(FirstConfiguration, callers.note_configured)
+        runtime.handle(FirstConfiguration, callers.on_first_configuration)
         is_ready = partial(_is_ready, state, clock)
         open_metrics(settings.metrics, side.metrics, is_ready, stack)
         readiness = adapter.readiness(is_ready)
@@ -103,9 +103,9 @@
         server = CallerServer(*settings.callers, callers, header_timeout, listener)
         stack.enter_context(closing(server))
         server.start()
-        stack.callback(callers.give_up_all)
+        stack.callback(callers.abort_all)
         store = adapter.open_store(settings, runtime.post)
-        runtime.handle(StoreCallerTimeouts, store.keep_patience)
+        runtime.handle(StoreCallerTimeouts, store.store_caller_timeouts)
         return run_until_stopped(
             runtime, side, store, state.directory.to_dial, adapter.settings_file, stack
         )
--- a/gypsumspoke/shell/run_sidecar.py
+++ b/gypsumspoke/shell/run_sidecar.py
@@ -74,7 +74,7 @@
         )
         runtime.handle(StartCommand, worker.start)
         runtime.handle(StopCommand, worker.stop)
-        runtime.handle(RenewCommand, worker.hold)
+        runtime.handle(RenewCommand, worker.renew)
         is_ready = partial(_is_ready, state, clock)
         open_metrics(settings.metrics, side.metrics, is_ready, stack)
         registration = adapter.registration(runtime.post)
--- a/gypsumspoke/tools/caller_client.py
+++ b/gypsumspoke/tools/caller_client.py
@@ -8,7 +8,7 @@
 from returns.result import Failure, Result, Success
 
 from gypsumspoke.core.clock import Clock
-from gypsumspoke.parser.documents import DocumentError, plain_json
+from gypsumspoke.parser.documents import DocumentError, to_strict_json
 from gypsumspoke.tools.exit_codes import ExitCode
 from gypsumspoke.tools.http_client import Address, Reply, Request, exchange
 from gypsumspoke.tools.operator_client import CommandError, no_reply_error
@@ -40,7 +40,7 @@
     Returns:
       The entry's answer, a refusal included, or why there is none.
     """
-    body = plain_json(text).bind(lambda plain: _with_key(plain, key))
+    body = to_strict_json(text).bind(lambda plain: _with_key(plain, key))
     if isinstance(body, Failure):
         return Failure(CommandError(ExitCode.BAD_INPUT, str(body.failure())))
     headers = {"Content-Type": "application/json"}
--- a/gypsumspoke/tools/command_line.py
+++ b/gypsumspoke/tools/command_line.py
@@ -179,13 +179,13 @@
 
 
 def _load_manifest(path: Path) -> str:
-    from gypsumspoke.parser.documents import plain_json
+    from gypsumspoke.parser.documents import to_strict_json
     from gypsumspoke.parser.manifest import parse_manifest
 
     text = _read(path)
     _checked(path, parse_manifest(text))
     # Every process parses it again, and strict JSON is far cheaper to parse.
-    return plain_json(text).unwrap()
+    return to_strict_json(text).unwrap()
 
 
 # ---------------------------------------------------------------------------
--- a/tests/fuzz/test_documents.py
+++ b/tests/fuzz/test_documents.py
@@ -9,7 +9,7 @@
 
 from gypsumspoke.core.policy import Manifest
 from gypsumspoke.parser.announcement import Announcement, parse_announcement
-from gypsumspoke.parser.documents import plain_json, read_document
+from gypsumspoke.parser.documents import read_document, to_strict_json
 from gypsumspoke.parser.manifest import parse_manifest
 from gypsumspoke.parser.settings import Settings, parse_settings
 from tests.fuzz.texts import spoiled_documents
@@ -54,7 +54,7 @@
         assert all(isinstance(error, str) for error in parsed.failure())
         return
     assert isinstance(parsed.unwrap(), Manifest)
-    stored = plain_json(text).unwrap().encode()
+    stored = to_strict_json(text).unwrap().encode()
     assert parse_manifest(stored.decode()) == parsed
 
 
@@ -62,7 +62,7 @@
 @example('{"services": ["\\ud800"]} // a comment')
 def test_plain_json_is_read_as_the_same_document(text):
     read = read_document(text)
-    stored = plain_json(text)
+    stored = to_strict_json(text)
     assert is_successful(stored) == is_successful(read)
     if is_successful(stored):
         stored.unwrap().encode()
--- a/tests/fuzz/test_entry_http.py
+++ b/tests/fuzz/test_entry_http.py
@@ -10,7 +10,7 @@
 from gypsumspoke.core.effects import Deliver
 from gypsumspoke.core.errors import ANSWER_RULES, ErrorKind, Work
 from gypsumspoke.core.values import Answer
-from gypsumspoke.parser.job_request import BODY_LIMIT
+from gypsumspoke.parser.job_request import MAX_BODY_BYTES
 from gypsumspoke.shell.entry_http import EntryHttp
 from gypsumspoke.shell.job_answers import PROBLEM_TYPE
 from tests.fuzz.test_job_request import JOB, bodies
@@ -67,7 +67,7 @@
     )
 
 
-@given(st.integers(BODY_LIMIT + 1), st.binary(max_size=10))
+@given(st.integers(MAX_BODY_BYTES + 1), st.binary(max_size=10))
 def test_a_declared_length_over_the_bound_is_refused_unread(length, body):
     kind = request("POST", "/v1/jobs", body=body, length=length)
     assert kind is ErrorKind.BODY_TOO_LARGE
--- a/tests/platform/test_callers.py
+++ b/tests/platform/test_callers.py
@@ -105,7 +105,7 @@
     gevent.sleep(0)
     assert not asked.ready()
     entry.state.table = RoutingTable(CONFIGURATION)
-    entry.callers.note_configured(FirstConfiguration())
+    entry.callers.on_first_configuration(FirstConfiguration())
     assert asked.get() == ("200 OK", {"pending": 0})
     assert entry.counted == []
 
@@ -121,7 +121,7 @@
 def test_a_request_that_waits_for_the_configuration_is_answered_at_a_stop(entry):
     asked = gevent.spawn(entry.get)
     gevent.sleep(0)
-    entry.callers.give_up_all()
+    entry.callers.abort_all()
     status, body = asked.get()
     assert status.startswith("503")
     assert body["reason"] == RefusalReason.STOPPING.value
@@ -142,7 +142,7 @@
         gevent.sleep(0)
         arrived = [event for event in entry.posted if isinstance(event, JobArrived)]
         assert len(arrived) == (0 if has_left else 1)
-        entry.callers.give_up_all()
+        entry.callers.abort_all()
         assert submitted.get().startswith("504")
     assert entry.counted == ([RefusalReason.CALLER_LEFT] if has_left else [])
 
--- a/tests/platform/test_decoding.py
+++ b/tests/platform/test_decoding.py
@@ -8,8 +8,8 @@
 from returns.pipeline import is_successful
 
 from gypsumspoke.platform.configuration import parse_configuration
-from gypsumspoke.platform.jobs import MOST_TASKS, Unsupported, is_job_id, parse_job
-from gypsumspoke.platform.names import run_of, task_name
+from gypsumspoke.platform.jobs import MAX_TASKS, Unsupported, is_job_id, parse_job
+from gypsumspoke.platform.names import parse_run_id, task_name
 from gypsumspoke.platform.registration import parse_registration
 from gypsumspoke.platform.settings import read_settings
 from gypsumspoke.runs.budget import DEFAULT_BUDGET
@@ -64,7 +64,7 @@
         job_body(steps=[{"count": 0}]),
         job_body(steps=[{"count": "x"}]),
         job_body(steps=[{"count": True}]),
-        job_body(steps=[{"count": MOST_TASKS + 1}]),
+        job_body(steps=[{"count": MAX_TASKS + 1}]),
         job_body(steps=[{"count": 1, "cpu": -1}]),
         job_body(steps=[{"count": 1, "after": [0]}]),
         job_body(steps=[{"count": 1, "after": "x"}]),
@@ -115,7 +115,7 @@
     assert not is_job_id(JOB_ID + "0")
     task = TaskId(JOB_ID, 1, 17)
     assert task_name(task) == JOB_ID + ".0.1.17"
-    assert run_of(task_name(task), 2) == RunId(task, 2)
+    assert parse_run_id(task_name(task), 2) == RunId(task, 2)
 
 
 def test_a_configuration():
--- a/tests/platform/test_kept_patience.py
+++ b/tests/platform/test_entry_store.py
@@ -8,7 +8,7 @@
 import gevent
 import pytest
 
-from gypsumspoke.platform.kept_patience import PATIENCE_TABLE, EntryStore
+from gypsumspoke.platform.entry_store import CALLER_TIMEOUTS_TABLE, EntryStore
 from gypsumspoke.runs.caller_timeouts import CallerTimeoutsRead, StoreCallerTimeouts
 from gypsumspoke.runs.settings import RunSettings
 from tests.standins.platform_store import PlatformStore
@@ -55,23 +55,23 @@
 
 def kept(stand_in, name="front-1"):
     """Return an entry's row, or None."""
-    _, value = stand_in.rows.get((PATIENCE_TABLE, name), (0, None))
+    _, value = stand_in.rows.get((CALLER_TIMEOUTS_TABLE, name), (0, None))
     return json.loads(base64.b64decode(value)) if value is not None else None
 
 
 def test_what_an_entry_kept_is_read_by_the_next_process(stand_in):
     with entry(stand_in) as (store, events):
         wait_until(lambda: events == [CallerTimeoutsRead(())])
-        store.keep_patience(StoreCallerTimeouts((("checks", CHECKS),)))
+        store.store_caller_timeouts(StoreCallerTimeouts((("checks", CHECKS),)))
         wait_until(lambda: kept(stand_in) == {"checks": 2000})
     with entry(stand_in, "front-2") as (_, events):
         wait_until(lambda: events == [CallerTimeoutsRead(({"checks": CHECKS},))])
 
 
 def test_a_row_that_can_not_be_read_hides_no_other(stand_in):
-    stand_in.put(PATIENCE_TABLE, "front-1", b"{")
-    stand_in.put(PATIENCE_TABLE, "front-2", b'["x"]')
-    stand_in.put(PATIENCE_TABLE, "front-3", b'{"checks": 2000}')
+    stand_in.put(CALLER_TIMEOUTS_TABLE, "front-1", b"{")
+    stand_in.put(CALLER_TIMEOUTS_TABLE, "front-2", b'["x"]')
+    stand_in.put(CALLER_TIMEOUTS_TABLE, "front-3", b'{"checks": 2000}')
     with entry(stand_in) as (_, events):
         wait_until(lambda: events == [CallerTimeoutsRead(({"checks": CHECKS},))])
 
@@ -83,9 +83,9 @@
     with entry(stand_in) as (store, events):
         wait_until(lambda: events)
         stand_in.status = 503
-        store.keep_patience(StoreCallerTimeouts((("checks", CHECKS),)))
+        store.store_caller_timeouts(StoreCallerTimeouts((("checks", CHECKS),)))
         gevent.sleep(0.05)
-        store.keep_patience(StoreCallerTimeouts((("checks", 2 * CHECKS),)))
+        store.store_caller_timeouts(StoreCallerTimeouts((("checks", 2 * CHECKS),)))
         stand_in.status = None
         wait_until(lambda: kept(stand_in) == {"checks": 4000})
         gevent.sleep(0.6)
--- a/tests/platform/test_worker.py
+++ b/tests/platform/test_worker.py
@@ -23,7 +23,7 @@
     events = []
     client = WorkerClient(worker.address, events.append, SteadyClock())
     try:
-        client.hold(order)
+        client.renew(order)
         with gevent.Timeout(WAIT_AT_MOST):
             while not events:
                 gevent.sleep(0.005)
--- a/tests/standins/platform_worker.py
+++ b/tests/standins/platform_worker.py
@@ -11,7 +11,7 @@
 import gevent
 from gevent.pywsgi import WSGIServer
 
-from gypsumspoke.platform.names import run_of, task_name
+from gypsumspoke.platform.names import parse_run_id, task_name
 from gypsumspoke.runs.values import Room, RunEnd
 from gypsumspoke.runs.worker_commands import (
     CommandResult,
@@ -133,7 +133,7 @@
             return self.status, {}
         if path == "/v1/hold":
             return self._hold(body)
-        run = run_of(body["task"], body["run"])
+        run = parse_run_id(body["task"], body["run"])
         token = body.get("fencing_token", 0)
         if path == "/v1/run-start":
             lease_end = body["deadline_ms"] * _MILLISECOND
