--- a/gypsumspoke/shell/run_entry.py
+++ b/gypsumspoke/shell/run_entry.py
@@ -44,8 +44,8 @@
     Attributes:
       parse_configuration: reads a configuration's text.
       open_callers: makes the WSGI application towards callers, with ``deliver``,
-        ``on_first_configuration`` and ``abort_all``, from the functions that post an event
-        and count a refusal, the clock and the state.
+        ``on_first_configuration`` and ``abort_all``, from the functions that post an
+        event and count a refusal, the clock and the state.
       readiness: makes the WSGI application that tells whether this entry is ready.
       open_store: makes the store's client from the settings and the post function.
       settings_file: the settings, to be read again.
