--- a/gypsumspoke/parser/__init__.py
+++ b/gypsumspoke/parser/__init__.py
@@ -1,1 +1,1 @@
-"""Text to checked values: settings, the manifest and submissions."""
+"""Parses and validates settings, the manifest, announcements and job requests."""
--- a/gypsumspoke/parser/announcement.py
+++ b/gypsumspoke/parser/announcement.py
@@ -1,4 +1,4 @@
-"""What an upstream says of itself to the sidecar beside it."""
+"""Parses the announcement in which an upstream registers with its sidecar."""
 
 from typing import Annotated, NamedTuple, NotRequired, TypedDict
 
@@ -17,13 +17,13 @@
 
 
 class Announcement(NamedTuple):
-    """A checked announcement.
+    """A valid announcement.
 
     Attributes:
-      service: name of the service it offers.
-      slots: tasks it runs at once.
-      port: TCP port it listens on; 0 for the one in the settings.
-      leaving: it wants no new tasks.
+      service: name of the service that the upstream provides.
+      slots: number of tasks that it runs at once.
+      port: TCP port that it listens on; 0 for the port in the settings.
+      leaving: the upstream accepts no new tasks.
     """
 
     service: str
@@ -32,7 +32,7 @@
     leaving: bool
 
 
-class _AnnouncementShape(TypedDict):
+class _AnnouncementSchema(TypedDict):
     service: Name
     slots: Annotated[int, Meta(ge=1, le=MAX_SLOTS)]
     port: NotRequired[Annotated[int, Meta(ge=1, le=65535)]]
@@ -40,19 +40,19 @@
 
 
 def parse_announcement(text: str) -> Result[Announcement, tuple[DocumentError, ...]]:
-    """Check an announcement.
+    """Parse and validate an announcement.
 
     Args:
       text: a JSON object.
 
     Returns:
-      The announcement, or every error found.
+      The announcement, or all errors.
     """
-    return read_document(text).alt(lambda error: (error,)).bind(_check)
+    return read_document(text).alt(lambda error: (error,)).bind(_validate)
 
 
-def _check(raw: object) -> Result[Announcement, tuple[DocumentError, ...]]:
-    fields, errors = check_fields(_AnnouncementShape, raw)
+def _validate(raw: object) -> Result[Announcement, tuple[DocumentError, ...]]:
+    fields, errors = check_fields(_AnnouncementSchema, raw)
     if errors:
         return Failure(tuple(errors))
     return Success(_announcement(fields))
--- a/gypsumspoke/parser/documents.py
+++ b/gypsumspoke/parser/documents.py
@@ -1,10 +1,8 @@
-"""JSON with comments to checked fields, with all errors at once.
+"""Reads JSON with comments and validates objects, reporting all errors at once.
 
-A person who corrects a file wants every fault in one go, and ``msgspec`` stops at the
-first, so each field is converted on its own against its annotated type. Strict JSON is
-tried before JSON with comments: the manifest is parsed again in every process on every
-change, and the standard library's parser is far faster than ``json5``, which is
-imported only when a document needs it.
+``msgspec`` stops at the first error, so each field is converted separately against its
+annotated type. Strict JSON is tried before JSON with comments: the standard library's
+parser is far faster than ``json5``, which is imported only when a document needs it.
 """
 
 import functools
@@ -31,11 +29,11 @@
 
 
 class DocumentError(NamedTuple):
-    """One fault of a document.
+    """An error in a document.
 
     Attributes:
-      path: where it is, such as ``teams[2].weight``; empty for the whole document.
-      reason: what is wrong, with the bound that was broken.
+      path: path of the value, as in ``teams[2].weight``; empty for the whole document.
+      reason: what is wrong, including the violated bound.
     """
 
     path: str
@@ -48,34 +46,34 @@
 def read_document(text: str) -> Result[object, DocumentError]:
     """Read JSON with comments.
 
-    Duplicate keys, NaN, Infinity and halves of surrogate pairs are refused.
+    Duplicate keys, NaN, Infinity and lone surrogates are rejected.
 
     Args:
       text: the document, at most ``MAX_DOCUMENT_CHARACTERS`` long.
 
     Returns:
-      The plain value, or why it can't be read.
+      The decoded value, or the error.
     """
     if len(text) > MAX_DOCUMENT_CHARACTERS:
         reason = f"longer than {MAX_DOCUMENT_CHARACTERS} characters"
         return Failure(DocumentError("", reason))
     try:
         value = _loads(text)
-        _refuse_lone_surrogates(value)
+        _reject_lone_surrogates(value)
         return Success(value)
     except (ValueError, RecursionError) as error:
         return Failure(DocumentError("", f"not JSON with comments: {error}"))
 
 
 def to_strict_json(text: str) -> Result[str, DocumentError]:
-    """Return the document as strict JSON for programs that don't read comments.
+    """Convert JSON with comments to strict JSON.
 
-    Text that is strict JSON already comes back unchanged, digit by digit.
+    Text that is strict JSON already is returned unchanged, numbers with every digit.
     """
-    return read_document(text).map(lambda value: _plain(text, value))
+    return read_document(text).map(lambda value: _strict(text, value))
 
 
-def _plain(text: str, value: object) -> str:
+def _strict(text: str, value: object) -> str:
     try:
         json.loads(text)
     except ValueError:
@@ -87,63 +85,62 @@
     try:
         return json.loads(
             text,
-            object_pairs_hook=_refuse_duplicates,
-            parse_constant=_refuse_constant,
+            object_pairs_hook=_reject_duplicate_keys,
+            parse_constant=_reject_constant,
         )
     except json.JSONDecodeError:
         import json5
 
         return json5.loads(
             text,
-            object_pairs_hook=_refuse_duplicates,
-            parse_constant=_refuse_constant,
+            object_pairs_hook=_reject_duplicate_keys,
+            parse_constant=_reject_constant,
         )
 
 
-def _refuse_duplicates(pairs: list[tuple[str, object]]) -> Fields:
+def _reject_duplicate_keys(pairs: list[tuple[str, object]]) -> Fields:
     fields = dict(pairs)
     if len(fields) < len(pairs):
         keys = [key for key, _ in pairs]
-        twice = sorted({key for key in keys if keys.count(key) > 1})
-        raise ValueError(f"keys given twice: {', '.join(twice)}")
+        duplicates = sorted({key for key in keys if keys.count(key) > 1})
+        raise ValueError(f"duplicate keys: {', '.join(duplicates)}")
     return fields
 
 
-def _refuse_lone_surrogates(value: object) -> None:
-    r"""Refuse an escape such as ``\ud800`` without the other half of its pair.
+def _reject_lone_surrogates(value: object) -> None:
+    r"""Reject lone surrogates, such as the escape ``\ud800`` without its pair.
 
-    JSON allows them, but no UTF-8 holds them: the first place that encodes the text, a
-    check of a field or the write to the table, would fail with an exception.
+    JSON allows them, but UTF-8 can't encode them: a field check or a write to the table
+    would raise an exception later.
     """
     json.dumps(value, ensure_ascii=False).encode()
 
 
-def _refuse_constant(name: str) -> object:
+def _reject_constant(name: str) -> object:
     raise ValueError(f"{name} is not a number")
 
 
 def check_fields(
-    shape: type, raw: object, path: str = ""
+    schema: type, raw: object, path: str = ""
 ) -> tuple[Fields, list[DocumentError]]:
-    """Check a JSON object against a TypedDict with annotated bounds.
+    """Validate a JSON object against a TypedDict with annotated bounds.
 
     Args:
-      shape: a TypedDict; its values are scalars, TypedDicts or lists of TypedDicts.
-      raw: the value read.
-      path: where the value stands in the document.
+      schema: a TypedDict; its values are scalars, TypedDicts or lists of TypedDicts.
+      raw: the decoded value.
+      path: path of the value in the document.
 
     Returns:
-      The fields that are right, and one error for each that is wrong, missing or
-      unknown.
+      The valid fields, and one error for each invalid, missing or unknown key.
     """
     if not isinstance(raw, dict):
         return {}, [DocumentError(path, "expected an object")]
-    hints = _hints(shape)
+    hints = _hints(schema)
     fields: Fields = {}
     errors = []
     for key in raw.keys() - hints.keys():
         errors.append(DocumentError(_join(path, key), "unknown key"))
-    for key in shape.__required_keys__ - raw.keys():
+    for key in schema.__required_keys__ - raw.keys():
         errors.append(DocumentError(_join(path, key), "missing"))
     for key in hints.keys() & raw.keys():
         value, found = _check_value(hints[key], raw[key], _join(path, key))
@@ -155,8 +152,8 @@
 
 
 @functools.cache
-def _hints(shape: type) -> dict[str, object]:
-    hints = get_type_hints(shape, include_extras=True)
+def _hints(schema: type) -> dict[str, object]:
+    hints = get_type_hints(schema, include_extras=True)
     for key, hint in hints.items():
         if get_origin(hint) is NotRequired:
             (hints[key],) = get_args(hint)
@@ -166,9 +163,9 @@
 def _check_value(
     hint: object, raw: object, path: str
 ) -> tuple[object, list[DocumentError]]:
-    if _is_shape(hint):
+    if _is_schema(hint):
         return check_fields(hint, raw, path)
-    if get_origin(hint) is list and _is_shape(get_args(hint)[0]):
+    if get_origin(hint) is list and _is_schema(get_args(hint)[0]):
         return _check_list(get_args(hint)[0], raw, path)
     try:
         return msgspec.convert(raw, hint), []
@@ -178,20 +175,20 @@
 
 
 def _check_list(
-    shape: type, raw: object, path: str
+    schema: type, raw: object, path: str
 ) -> tuple[list[Fields], list[DocumentError]]:
     if not isinstance(raw, list):
         return [], [DocumentError(path, "expected an array")]
     values = []
     errors: list[DocumentError] = []
     for index, element in enumerate(raw):
-        fields, found = check_fields(shape, element, f"{path}[{index}]")
+        fields, found = check_fields(schema, element, f"{path}[{index}]")
         values.append(fields)
         errors.extend(found)
     return values, errors
 
 
-def _is_shape(hint: object) -> bool:
+def _is_schema(hint: object) -> bool:
     return isinstance(hint, type) and issubclass(hint, dict)
 
 
--- a/gypsumspoke/parser/job_request.py
+++ b/gypsumspoke/parser/job_request.py
@@ -1,9 +1,8 @@
-"""Turns the JSON body of a job request into a checked submission.
+"""Parses the JSON body of a job request into a submission.
 
-Every field is checked by its own type, so that an error names the exact path. An
-unknown field is an error: a misspelt ``not_repeatable`` that were skipped would take
-the caller's mark away without a word. Task bodies are passed on byte for byte as they
-came, so that no number in them changes its digits on the way.
+Every field is validated separately, so that an error has the exact path. Unknown fields
+are errors, since a misspelt ``not_repeatable`` must not be ignored. Task bodies are
+passed on byte for byte, so that their numbers keep their digits.
 """
 
 import hashlib
@@ -56,26 +55,26 @@
 }
 _TASK_REQUIRED = ("body",)
 
-# Digits are compared as written: 1.10 and 1.1 are two bodies, and so are two numbers
-# that a float could not tell apart.
+# Numbers are compared as written: 1.10 and 1.1 differ, and so do two numbers with the
+# same value as a float.
 _exact_decoder = msgspec.json.Decoder(float_hook=Decimal)
 _canonical_encoder = msgspec.json.Encoder(order="sorted", decimal_format="number")
 
 
 class RequestError(NamedTuple):
-    """One fault of a request.
+    """An error in a request.
 
     Attributes:
-      path: where it is, as in ``$.tasks[3].body``.
-      reason: what is wrong there.
+      path: path of the value, such as ``$.tasks[3].body``.
+      reason: what is wrong.
     """
 
     path: str
     reason: str
 
 
-class _BadField(ValueError):
-    """Carries the errors out of the field checks; never leaves this module."""
+class _InvalidFields(ValueError):
+    """Carries errors to ``parse_job_request``, which returns them."""
 
     def __init__(self, *errors: RequestError) -> None:
         super().__init__(errors)
@@ -85,18 +84,18 @@
 def parse_job_request(
     body: bytes, now: datetime
 ) -> Result[Submission, tuple[RequestError, ...]]:
-    """Return the submission that a request body describes.
+    """Parse and validate the body of a job request.
 
     Args:
       body: JSON text, at most ``MAX_BODY_BYTES`` bytes.
-      now: time of arrival; the deadline counts from here.
+      now: time of arrival, to which the deadline is relative.
 
     Returns:
-      Success with the submission, or Failure with the faults found.
+      The submission, or the errors.
     """
     try:
         return Success(_submission(body, now))
-    except _BadField as error:
+    except _InvalidFields as error:
         return Failure(error.errors)
 
 
@@ -115,7 +114,7 @@
         deadline=now + timedelta(seconds=fields["deadline_seconds"]),
         not_repeatable=not_repeatable,
         tasks=tuple(task for task, _ in tasks),
-        digest=_digest(service, not_repeatable, [form for _, form in tasks]),
+        digest=_digest(service, not_repeatable, [canonical for _, canonical in tasks]),
     )
 
 
@@ -133,7 +132,7 @@
 def _fields(
     text: bytes, path: str, types: dict[str, Any], required: tuple[str, ...]
 ) -> dict[str, Any]:
-    """Return the checked fields of one object."""
+    """Decode an object and validate its fields."""
     raw_fields = _decode(text, dict[str, Raw], path)
     errors = [
         RequestError(f"{path}.{name}", "unknown field")
@@ -152,10 +151,10 @@
         try:
             value = bytes(raw_fields[name])
             fields[name] = _decode(value, field_type, f"{path}.{name}")
-        except _BadField as error:
+        except _InvalidFields as error:
             errors += error.errors
     if errors:
-        raise _BadField(*errors)
+        raise _InvalidFields(*errors)
     return fields
 
 
@@ -163,27 +162,27 @@
     try:
         return msgspec.json.decode(text, type=field_type)
     except msgspec.ValidationError as error:
-        raise _BadField(RequestError(path, str(error))) from error
+        raise _InvalidFields(RequestError(path, str(error))) from error
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         reason = f"malformed JSON: {error}"
-        raise _BadField(RequestError(path, reason)) from error
+        raise _InvalidFields(RequestError(path, reason)) from error
     except RecursionError as error:
-        raise _BadField(RequestError(path, "nested too deeply")) from error
+        raise _InvalidFields(RequestError(path, "nested too deeply")) from error
 
 
 def _canonical(body: bytes, path: str) -> bytes:
-    """Return the body with sorted names and without blanks."""
+    """Return the body with sorted keys and without whitespace."""
     try:
         return _canonical_encoder.encode(_exact_decoder.decode(body))
     except (msgspec.DecodeError, UnicodeDecodeError, ArithmeticError) as error:
         reason = f"malformed JSON: {error}"
-        raise _BadField(RequestError(path, reason)) from error
+        raise _InvalidFields(RequestError(path, reason)) from error
     except RecursionError as error:
-        raise _BadField(RequestError(path, "nested too deeply")) from error
+        raise _InvalidFields(RequestError(path, "nested too deeply")) from error
 
 
 def _birth(fields: dict[str, Any]) -> datetime:
-    """Return the birth as given, or else the time inside a UUIDv7 key (RFC 9562)."""
+    """Return the given birth, or else the timestamp of a UUIDv7 key (RFC 9562)."""
     birth = fields.get("birth")
     if birth is not None:
         return _as_utc(birth)
@@ -192,24 +191,26 @@
     except ValueError:
         identifier = None
     if identifier is None or identifier.version != _UUID_VERSION_WITH_TIME:
-        raise _BadField(RequestError("$.birth", "missing, and the key is no UUIDv7"))
+        raise _InvalidFields(
+            RequestError("$.birth", "missing, and the key is not a UUIDv7")
+        )
     milliseconds = identifier.int >> _UUID_TIME_SHIFT
     epoch = datetime(1970, 1, 1, tzinfo=timezone.utc)
     try:
         return epoch + timedelta(milliseconds=milliseconds)
     except OverflowError as error:
-        raise _BadField(RequestError("$.key", "time out of range")) from error
+        raise _InvalidFields(RequestError("$.key", "time out of range")) from error
 
 
 def _as_utc(birth: datetime) -> datetime:
     try:
         return birth.astimezone(timezone.utc)
     except OverflowError as error:
-        raise _BadField(RequestError("$.birth", "out of range")) from error
+        raise _InvalidFields(RequestError("$.birth", "out of range")) from error
 
 
 def _digest(service: str, not_repeatable: bool, bodies: list[bytes]) -> bytes:
-    """Return the hash that tells a copy from another job under the same key."""
+    """Return the hash that tells a resubmission from another job with the same key."""
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in (service.encode(), b"1" if not_repeatable else b"0", *bodies):
         digest.update(len(part).to_bytes(4, "big"))
--- a/gypsumspoke/parser/manifest.py
+++ b/gypsumspoke/parser/manifest.py
@@ -1,8 +1,7 @@
-"""The manifest: what operators decide for the whole system.
+"""Parses the manifest, the operators' configuration of the whole system.
 
-The build pipeline writes it on every release, and every process parses it again when
-it comes into force, so the same text must give the same verdict everywhere: the
-check depends on nothing but the text. Each number has its unit in its key.
+Every process parses the manifest when it takes effect and must come to the same result,
+so validation depends on the text alone. Each number has its unit in its key.
 """
 
 from datetime import timedelta
@@ -39,7 +38,7 @@
 _Share = Annotated[float, Meta(ge=0, le=1)]
 
 
-class _ServiceShape(TypedDict):
+class _ServiceSchema(TypedDict):
     name: Name
     connections: NotRequired[Annotated[int, Meta(ge=1, le=1024)]]
     connect_timeout_seconds: NotRequired[_Timeout]
@@ -47,14 +46,14 @@
     queue_limit_tasks: NotRequired[Annotated[int, Meta(ge=0, le=10_000)]]
 
 
-class _TeamShape(TypedDict):
+class _TeamSchema(TypedDict):
     name: Name
     tasks_per_second: Annotated[float, Meta(ge=0, le=1_000_000)]
     burst_tasks: _Count
     weight: NotRequired[Annotated[float, Meta(ge=0.001, le=1000)]]
 
 
-class _PolicyShape(TypedDict, total=False):
+class _PolicySchema(TypedDict, total=False):
     retention_seconds: Annotated[float, Meta(ge=1, le=MAX_RETENTION.total_seconds())]
     clock_skew_seconds: Annotated[float, Meta(ge=0.01, le=60)]
     retry_budget_share: _Share
@@ -68,40 +67,39 @@
     placement: Literal[*STRATEGIES]
 
 
-class _ManifestShape(TypedDict):
-    services: list[_ServiceShape]
-    teams: list[_TeamShape]
-    policy: NotRequired[_PolicyShape]
+class _ManifestSchema(TypedDict):
+    services: list[_ServiceSchema]
+    teams: list[_TeamSchema]
+    policy: NotRequired[_PolicySchema]
 
 
 def parse_manifest(text: str) -> Result[Manifest, tuple[str, ...]]:
-    """Check a manifest.
+    """Parse and validate a manifest.
 
     Args:
       text: JSON with comments.
 
     Returns:
-      The manifest, or every error found, each as ``path: reason``.
+      The manifest, or all errors, each as ``path: reason``.
     """
-    return read_document(text).alt(lambda error: (str(error),)).bind(_check)
+    return read_document(text).alt(lambda error: (str(error),)).bind(_validate)
 
 
-def _check(raw: object) -> Result[Manifest, tuple[str, ...]]:
-    fields, errors = check_fields(_ManifestShape, raw)
+def _validate(raw: object) -> Result[Manifest, tuple[str, ...]]:
+    fields, errors = check_fields(_ManifestSchema, raw)
     errors.extend(_list_errors(fields))
     if not errors:
         manifest = _manifest(fields)
-        errors.extend(_relation_errors(manifest))
+        errors.extend(_consistency_errors(manifest))
     if errors:
         return Failure(tuple(str(error) for error in errors))
     return Success(manifest)
 
 
 def _list_errors(fields: Fields) -> list[DocumentError]:
-    """Return errors of lists that are empty or name something twice.
+    """Return errors for empty lists and duplicate names.
 
-    A pipeline that fails half-way tends to write an empty list, which would refuse
-    every caller.
+    An empty list, perhaps from a build that failed midway, would refuse every caller.
     """
     errors = []
     for key in ("services", "teams"):
@@ -115,8 +113,8 @@
     return errors
 
 
-def _relation_errors(manifest: Manifest) -> list[DocumentError]:
-    """Return errors between values that are each right on their own."""
+def _consistency_errors(manifest: Manifest) -> list[DocumentError]:
+    """Return errors for values that are valid but inconsistent with each other."""
     policy = manifest.policy
     errors = []
     if policy.retention <= 2 * policy.clock_skew:
@@ -124,7 +122,7 @@
         errors.append(DocumentError("policy.retention_seconds", reason))
     for index, service in enumerate(manifest.services):
         path = f"services[{index}].answer_timeout_seconds"
-        # A task that outlives its record could be started again by a resubmission.
+        # A resubmission could start a task again that outlives its record.
         if service.answer_timeout >= policy.retention:
             reason = "must be less than policy.retention_seconds"
             errors.append(DocumentError(path, reason))
@@ -169,11 +167,11 @@
         if key.endswith("_seconds"):
             values[key.removesuffix("_seconds")] = timedelta(seconds=value)
         else:
-            values[_UNITS_DROPPED.get(key, key)] = value
+            values[_POLICY_FIELDS.get(key, key)] = value
     return DEFAULT_POLICY._replace(**values)
 
 
-_UNITS_DROPPED = {
+_POLICY_FIELDS = {
     "retry_budget_share": "retry_budget",
     "message_weight_share": "message_weight",
     "ledger_limit_submissions": "ledger_limit",
--- a/gypsumspoke/parser/settings.py
+++ b/gypsumspoke/parser/settings.py
@@ -1,9 +1,8 @@
-"""Settings of one process: who it is and where it finds the others.
+"""Parses the settings of one process: its identity and the addresses it uses.
 
-What differs between two processes stands here; what is the same everywhere stands in
-the manifest. A process with bad settings must not start, since a wrong worker name or
-failure domain would mislead all others, so each key is checked and an unknown one is
-an error rather than ignored.
+What is the same for all processes is in the manifest instead. A process with invalid
+settings must not start, since a wrong worker name or failure domain would mislead its
+peers. Unknown keys are errors too.
 """
 
 import socket
@@ -29,7 +28,7 @@
 
 SettingsError = DocumentError
 
-_BoundPort = Annotated[int, Meta(ge=0, le=65535)]
+_ListenPort = Annotated[int, Meta(ge=0, le=65535)]
 _Port = Annotated[int, Meta(ge=1, le=65535)]
 _NameOrEmpty = Annotated[
     str, Meta(pattern=r"^([A-Za-z0-9][A-Za-z0-9._-]*)?$", max_length=63)
@@ -37,25 +36,25 @@
 
 
 class Settings(NamedTuple):
-    """Checked settings.
+    """Valid settings of one process.
 
     Attributes:
       role: entry or sidecar.
       worker: name of the worker; the same after a restart.
-      host: IPv4 number on which this process listens and peers reach it.
-      peer_port: TCP port for peers; 0 takes any free one, as do the next two.
+      host: IPv4 address on which this process listens and peers connect to it.
+      peer_port: TCP port for peers; 0 for any free port, as for the next two.
       http_port: TCP port for callers; 0 for a sidecar.
       admin_port: TCP port for metrics, health and administration.
-      failure_domain, rack, region: where the worker stands.
-      service: upstream service beside it; empty for an entry, and for a sidecar whose
-        upstream announces itself.
-      slots: tasks that the upstream runs at once; 0 where ``service`` is empty.
-      upstream_host, upstream_port: the upstream; empty and 0 for an entry. The port
-        may be 0 where the upstream announces itself.
-      table_host, table_port: the platform's table service.
-      partition_count: the same in every process.
-      drain_timeout: bound on a graceful stop.
-      log_level: as in ``logging``.
+      failure_domain, rack, region: location of the worker.
+      service: name of the upstream's service; empty for an entry, and for a sidecar
+        whose upstream announces itself.
+      slots: number of tasks that the upstream runs at once; 0 if ``service`` is empty.
+      upstream_host, upstream_port: address of the upstream; empty and 0 for an entry.
+        The port may be 0 if the upstream announces itself.
+      table_host, table_port: address of the platform's table service.
+      partition_count: number of partitions; the same in every process.
+      drain_timeout: maximum duration of a graceful stop.
+      log_level: name of a level of ``logging``.
     """
 
     role: Role
@@ -78,20 +77,20 @@
     log_level: str
 
 
-class _SettingsShape(TypedDict):
+class _SettingsSchema(TypedDict):
     role: Literal["entry", "sidecar"]
     worker: Name
     host: str
-    peer_port: _BoundPort
-    http_port: NotRequired[_BoundPort]
-    admin_port: _BoundPort
+    peer_port: _ListenPort
+    http_port: NotRequired[_ListenPort]
+    admin_port: _ListenPort
     failure_domain: Name
     rack: Name
     region: Name
     service: NotRequired[_NameOrEmpty]
     slots: NotRequired[Annotated[int, Meta(ge=0, le=1024)]]
     upstream_host: NotRequired[str]
-    upstream_port: NotRequired[_BoundPort]
+    upstream_port: NotRequired[_ListenPort]
     table_host: str
     table_port: _Port
     partition_count: NotRequired[Annotated[int, Meta(ge=1, le=65536)]]
@@ -101,19 +100,19 @@
 
 _ONLY_ENTRY = ("http_port",)
 _ONLY_SIDECAR = ("service", "slots", "upstream_host", "upstream_port")
-_NEEDED_OF_ANNOUNCED = ("upstream_host",)
+_REQUIRED_IF_ANNOUNCED = ("upstream_host",)
 _HOSTS = ("host", "table_host", "upstream_host")
 _ANY_ADDRESS = "0.0.0.0"
 
 
 def read_settings(path: str | Path) -> Result[Settings, tuple[SettingsError, ...]]:
-    """Read and check a settings file.
+    """Read and validate a settings file.
 
     Args:
       path: file in JSON with comments.
 
     Returns:
-      The settings, or every error found.
+      The settings, or all errors.
     """
     try:
         text = Path(path).read_text(encoding="utf-8")
@@ -123,12 +122,12 @@
 
 
 def parse_settings(text: str) -> Result[Settings, tuple[SettingsError, ...]]:
-    """Check settings given as text; see ``read_settings``."""
-    return read_document(text).alt(lambda error: (error,)).bind(_check)
+    """Parse and validate the text of a settings file."""
+    return read_document(text).alt(lambda error: (error,)).bind(_validate)
 
 
-def _check(raw: object) -> Result[Settings, tuple[SettingsError, ...]]:
-    fields, errors = check_fields(_SettingsShape, raw)
+def _validate(raw: object) -> Result[Settings, tuple[SettingsError, ...]]:
+    fields, errors = check_fields(_SettingsSchema, raw)
     errors.extend(_host_errors(fields))
     errors.extend(_role_errors(fields, raw))
     if errors:
@@ -140,17 +139,17 @@
     errors = []
     for key in _HOSTS:
         host = fields.get(key)
-        if host and not _is_ip_number(host):
-            errors.append(SettingsError(key, "expected an IPv4 number"))
-    # Peers dial the registered host; with 0.0.0.0 every one would reach itself.
+        if host and not _is_ipv4_address(host):
+            errors.append(SettingsError(key, "expected an IPv4 address"))
+    # Peers connect to the registered host; with 0.0.0.0 they would reach themselves.
     if fields.get("host") in ("", _ANY_ADDRESS):
-        errors.append(SettingsError("host", "expected an address that peers reach"))
+        errors.append(SettingsError("host", "expected an address that peers can reach"))
     if fields.get("table_host") == "":
-        errors.append(SettingsError("table_host", "expected an IPv4 number"))
+        errors.append(SettingsError("table_host", "expected an IPv4 address"))
     return errors
 
 
-def _is_ip_number(host: str) -> bool:
+def _is_ipv4_address(host: str) -> bool:
     try:
         socket.inet_pton(socket.AF_INET, host)
     except OSError:
@@ -162,19 +161,19 @@
     if "role" not in fields:
         return []
     if fields["role"] == Role.ENTRY.value:
-        return _missing(_ONLY_ENTRY, raw) + _foreign(_ONLY_SIDECAR, fields)
-    needed = _missing(_ONLY_SIDECAR, raw) + _empty(_needed_values(fields), fields)
-    return needed + _foreign(_ONLY_ENTRY, fields)
+        return _missing(_ONLY_ENTRY, raw) + _not_applicable(_ONLY_SIDECAR, fields)
+    errors = _missing(_ONLY_SIDECAR, raw) + _empty(_required_values(fields), fields)
+    return errors + _not_applicable(_ONLY_ENTRY, fields)
 
 
-def _needed_values(fields: Fields) -> tuple[str, ...]:
-    """Return the keys of a sidecar that can't be left to the upstream's announcement.
+def _required_values(fields: Fields) -> tuple[str, ...]:
+    """Return the keys that a sidecar's settings must give a value for.
 
-    Service and slots are both fixed or both announced: slots without a service most
-    likely mean a forgotten name, and the sidecar would wait for nothing.
+    Service and slots are either both set or both announced by the upstream. Slots
+    without a service are most likely a forgotten name.
     """
     is_announced = not fields.get("service") and not fields.get("slots")
-    return _NEEDED_OF_ANNOUNCED if is_announced else _ONLY_SIDECAR
+    return _REQUIRED_IF_ANNOUNCED if is_announced else _ONLY_SIDECAR
 
 
 def _missing(keys: tuple[str, ...], raw: object) -> list[SettingsError]:
@@ -191,9 +190,9 @@
     ]
 
 
-def _foreign(keys: tuple[str, ...], fields: Fields) -> list[SettingsError]:
+def _not_applicable(keys: tuple[str, ...], fields: Fields) -> list[SettingsError]:
     return [
-        SettingsError(key, "has no meaning for this role")
+        SettingsError(key, "does not apply to this role")
         for key in keys
         if fields.get(key)
     ]
