--- a/gypsumspoke/runs/coordinator.py
+++ b/gypsumspoke/runs/coordinator.py
@@ -168,7 +168,7 @@
     progress.deadline = max(progress.deadline, event.deadline)
     state.by_request[event.request] = progress.id
     fields = (("job", progress.id), ("request", event.request))
-    return [Log(logging.INFO, "copy attached", fields=fields)]
+    return [Log(logging.INFO, "resubmission attached", fields=fields)]
 
 
 @_handle.register
--- a/gypsumspoke/runs/coordinator_configuration.py
+++ b/gypsumspoke/runs/coordinator_configuration.py
@@ -39,7 +39,7 @@
     if version <= current:
         return []
     state.table = event.table
-    state.text = event.text
+    state.configuration_text = event.text
     fields = (("version", version), ("replaced", current), ("source", source))
     effects: list[Effect] = [Log(logging.INFO, "configuration in force", fields=fields)]
     if current == 0:
@@ -65,7 +65,7 @@
     """Send the configuration in force to another entry."""
     if state.table is None:
         return []
-    return [Send(sender, ConfigurationText(state.version, state.text))]
+    return [Send(sender, ConfigurationText(state.version, state.configuration_text))]
 
 
 def handle_text(
--- a/gypsumspoke/runs/coordinator_sidecars.py
+++ b/gypsumspoke/runs/coordinator_sidecars.py
@@ -150,11 +150,11 @@
     so that an overloaded entry doesn't take its own delay for silence.
     """
     effects: list[Effect] = []
-    heard = state.arrival.heard
+    read_until = state.arrival.heard
     for view in list(state.views.values()):
-        if view.open_runs and heard >= view.runs_dead_at:
+        if view.open_runs and read_until >= view.runs_expire_at:
             effects += _end_lost_runs(state, view, now)
-        if not view.connected and heard >= view.reported_at + FORGET_DELAY:
+        if not view.connected and read_until >= view.reported_at + FORGET_DELAY:
             _forget(state, view)
     return effects
 
--- a/gypsumspoke/runs/coordinator_state.py
+++ b/gypsumspoke/runs/coordinator_state.py
@@ -185,7 +185,7 @@
       needs_placing_round: whether a queued task may fit on a worker since the last
         placing round.
       table: the configuration in force; None before the first.
-      text: its text as the operators wrote it.
+      configuration_text: its text as the operators wrote it.
       arrival: arrival times of the current event.
       load_shedder: decides which jobs are refused while this entry is overloaded.
       refused_unread: jobs refused by it since the latest log line about them.
@@ -227,7 +227,7 @@
         self.waiting: dict[str, list[TaskProgress]] = {}
         self.needs_placing_round = False
         self.table: RoutingTable | None = None
-        self.text = ""
+        self.configuration_text = ""
         self.arrival = Arrival(now, now, now)
         self.load_shedder = LoadShedder(budget.tick, now)
         self.refused_unread = 0
--- a/gypsumspoke/runs/isolation.py
+++ b/gypsumspoke/runs/isolation.py
@@ -1,8 +1,9 @@
 """Detection of an entry that is cut off from all sidecars.
 
-An entry that hears no sidecar reports that it is not ready and gives up all jobs at
-once, so that their callers can use other entries. It doesn't claim that these jobs have
-not run; callers send them again after the time budget, when the old runs have ended.
+An entry whose sidecars are all silent reports that it is not ready and gives up all
+jobs at once, so that their callers can use other entries. It doesn't claim that these
+jobs have not run; callers send them again after the time budget, when the old runs have
+ended.
 """
 
 import logging
@@ -26,9 +27,9 @@
     state.last_tick = now
     if state.isolated or not state.views:
         return []
-    heard = max(view.reported_at for view in state.views.values())
+    last_report = max(view.reported_at for view in state.views.values())
     # Unread messages don't count as silence.
-    silence = state.arrival.heard - max(heard, state.running_since)
+    silence = state.arrival.heard - max(last_report, state.running_since)
     if silence < ISOLATION_TIMEOUT:
         return []
     state.isolated = True
--- a/gypsumspoke/runs/run_ends.py
+++ b/gypsumspoke/runs/run_ends.py
@@ -15,7 +15,7 @@
 from gypsumspoke.runs.values import EndReason, JobEnd, RefusalReason, RunEnd
 
 # Reasons that don't speak against running the task on the same worker again.
-_MAY_RETRY_THERE = frozenset(
+_RETRY_ON_SAME_WORKER = frozenset(
     {
         EndReason.NUMBER_TOO_LOW,
         EndReason.ORDER_STALE,
@@ -84,7 +84,7 @@
             return finish(state, progress, JobEnd.FAILED, reason, now)
     if message.reason is EndReason.SUPERSEDED:
         return give_up(state, progress, RefusalReason.SUPERSEDED, now)
-    if message.reason not in _MAY_RETRY_THERE:
+    if message.reason not in _RETRY_ON_SAME_WORKER:
         task.avoided_hosts.add(host)
     enqueue_task(state, progress, task)
     return [Count(message.reason)]
--- a/gypsumspoke/runs/sidecar_views.py
+++ b/gypsumspoke/runs/sidecar_views.py
@@ -96,7 +96,7 @@
         self._free = None
 
     @property
-    def runs_dead_at(self) -> datetime:
+    def runs_expire_at(self) -> datetime:
         """When all runs placed there have ended for certain if it stays silent."""
         return self.last_sent_at + self.budget.run_expiry
 
--- a/tests/runs/walk.py
+++ b/tests/runs/walk.py
@@ -94,7 +94,7 @@
         """Check every 20 ms whether the caller has to resubmit."""
         step = ms(20)
 
-        def look() -> None:
+        def check() -> None:
             end = self.world.end_of(request)
             if end is JobEnd.GIVEN_UP:
                 self._resubmit_after_delay(name, count)
@@ -106,7 +106,7 @@
             else:
                 self._watch(name, count, host, incarnation, request, waited + 20)
 
-        self.world.at(step, look)
+        self.world.at(step, check)
 
     def _is_lost(self, host: str, incarnation: str) -> bool:
         process = self.world.processes[host]
@@ -430,17 +430,17 @@
         self.world.drain(host)
         ends = self.world.now + self.GRACE
 
-        def look() -> None:
+        def check() -> None:
             if self.world.processes[host] is not process:
                 return
             if process.alive and self.world.now < ends:
-                self.world.at(ms(100), look)
+                self.world.at(ms(100), check)
                 return
             self.world.kill(host)
             self._resubmit_lost()
             self._start(host)
 
-        look()
+        check()
 
     def _clear_faults(self) -> None:
         super()._clear_faults()
