--- a/gypsumspoke/runs/supervisor.py
+++ b/gypsumspoke/runs/supervisor.py
@@ -29,12 +29,12 @@
     WithdrawRun,
 )
 from gypsumspoke.runs.supervisor_placement import (
-    note_alive,
-    take_asked,
-    take_placed,
-    take_withdrawn,
+    handle_placement,
+    handle_run_query,
+    handle_withdrawal,
+    record_heard,
 )
-from gypsumspoke.runs.supervisor_queue import refuse_waiting, start_waiting
+from gypsumspoke.runs.supervisor_queue import cancel_waiting_runs, start_waiting_runs
 from gypsumspoke.runs.supervisor_state import SupervisorState
 from gypsumspoke.runs.supervisor_stop import begin_stop, continue_stop
 from gypsumspoke.runs.values import EndReason, WorkerState
@@ -58,88 +58,88 @@
     Returns:
       What is to be done.
     """
-    effects = _take(event, state, now)
-    return [*effects, *supervisor_report.report_changes(state, now)]
+    effects = _handle(event, state, now)
+    return [*effects, *supervisor_report.send_change_reports(state, now)]
 
 
 @singledispatch
-def _take(event: Any, state: SupervisorState, now: datetime) -> list[Effect]:
+def _handle(event: Any, state: SupervisorState, now: datetime) -> list[Effect]:
     return []
 
 
-@_take.register
+@_handle.register
 def _(event: Received, state: SupervisorState, now: datetime) -> list[Effect]:
-    return _take_message(event.message, event.sender, state, now)
+    return _handle_message(event.message, event.sender, state, now)
 
 
-@_take.register
+@_handle.register
 def _(event: PeerConnected, state: SupervisorState, now: datetime) -> list[Effect]:
     state.peers.add(event.incarnation)
     state.taken[event.incarnation] = 0
     return supervisor_report.report_to(state, event.incarnation, now)
 
 
-@_take.register
+@_handle.register
 def _(event: PeerLost, state: SupervisorState, now: datetime) -> list[Effect]:
     # Its runs go on: the entry may be back in a moment. If not, its silence ends them.
     state.peers.discard(event.incarnation)
     state.taken.pop(event.incarnation, None)
-    state.told.pop(event.incarnation, None)
+    state.last_reports.pop(event.incarnation, None)
     return []
 
 
-@_take.register
+@_handle.register
 def _(event: HeartbeatArrived, state: SupervisorState, now: datetime) -> list[Effect]:
-    effects = supervisor_incarnation.take_registration(state, event.registration, now)
+    effects = supervisor_incarnation.handle_registration(state, event.registration, now)
     if state.worker and state.worker.state is WorkerState.DRAINING:
-        effects += refuse_waiting(state, EndReason.WORKER_DRAINING, now)
-    return [*effects, *start_waiting(state, now)]
+        effects += cancel_waiting_runs(state, EndReason.WORKER_DRAINING, now)
+    return [*effects, *start_waiting_runs(state, now)]
 
 
-@_take.register
+@_handle.register
 def _(event: WorkerLeft, state: SupervisorState, now: datetime) -> list[Effect]:
     if state.worker is None or state.worker.id != event.id:
         return []
     state.worker = state.worker._replace(state=WorkerState.DRAINING)
     log = Log(logging.INFO, "worker left", fields=(("worker", event.id),))
-    return [log, *refuse_waiting(state, EndReason.WORKER_DRAINING, now)]
+    return [log, *cancel_waiting_runs(state, EndReason.WORKER_DRAINING, now)]
 
 
-@_take.register
+@_handle.register
 def _(event: CommandAnswered, state: SupervisorState, now: datetime) -> list[Effect]:
-    effects = supervisor_commands.take_answer(state, event, now)
-    return [*effects, *start_waiting(state, now)]
+    effects = supervisor_commands.handle_answer(state, event, now)
+    return [*effects, *start_waiting_runs(state, now)]
 
 
-@_take.register
+@_handle.register
 def _(event: RenewalAnswered, state: SupervisorState, now: datetime) -> list[Effect]:
-    effects = supervisor_renewals.take_hold(state, event, now)
-    effects += start_waiting(state, now)
-    return [*effects, *supervisor_renewals.next_hold(state, now)]
+    effects = supervisor_renewals.handle_renewal_answer(state, event, now)
+    effects += start_waiting_runs(state, now)
+    return [*effects, *supervisor_renewals.next_renewal(state, now)]
 
 
-@_take.register
+@_handle.register
 def _(event: RenewalFailed, state: SupervisorState, now: datetime) -> list[Effect]:
-    return supervisor_renewals.take_failed_hold(state, event, now)
+    return supervisor_renewals.handle_renewal_failure(state, event, now)
 
 
-@_take.register
+@_handle.register
 def _(event: Tick, state: SupervisorState, now: datetime) -> list[Effect]:
-    effects = _stop_runs_of_silent_entries(state, now)
-    effects += supervisor_renewals.check_lease(state, now)
-    effects += supervisor_commands.repeat_stops(state, now)
-    effects += supervisor_renewals.next_hold(state, now)
-    effects += start_waiting(state, now)
-    effects += supervisor_report.report_regularly(state, now)
+    effects = _cancel_runs_of_silent_entries(state, now)
+    effects += supervisor_renewals.expire_runs(state, now)
+    effects += supervisor_commands.retry_stops(state, now)
+    effects += supervisor_renewals.next_renewal(state, now)
+    effects += start_waiting_runs(state, now)
+    effects += supervisor_report.send_regular_reports(state, now)
     return [*effects, *continue_stop(state, now)]
 
 
-@_take.register
+@_handle.register
 def _(event: EntriesRead, state: SupervisorState, now: datetime) -> list[Effect]:
     return state.directory.update_from_store(event.addresses)
 
 
-@_take.register
+@_handle.register
 def _(event: SettingsRead, state: SupervisorState, now: datetime) -> list[Effect]:
     return state.directory.update_from_settings(event.known_entries)
 
@@ -149,28 +149,30 @@
 
 
 @singledispatch
-def _take_message(
+def _handle_message(
     message: RunMessage, sender: str, state: SupervisorState, now: datetime
 ) -> list[Effect]:
     return []
 
 
-@_take_message.register
+@_handle_message.register
 def _(
     message: Pulse, sender: str, state: SupervisorState, now: datetime
 ) -> list[Effect]:
-    note_alive(state, sender, message.heard, now)
+    record_heard(state, sender, message.heard, now)
     return []
 
 
-@_take_message.register
+@_handle_message.register
 def _(
     message: KnownEntries, sender: str, state: SupervisorState, now: datetime
 ) -> list[Effect]:
     return state.directory.update_from_peer(message.addresses)
 
 
-def _stop_runs_of_silent_entries(state: SupervisorState, now: datetime) -> list[Effect]:
+def _cancel_runs_of_silent_entries(
+    state: SupervisorState, now: datetime
+) -> list[Effect]:
     """End the runs of entries that were not heard for ``entry_silence``.
 
     An entry that died can't stop them, and its caller will send the job again. Without
@@ -178,10 +180,10 @@
     """
     effects: list[Effect] = []
     limit = now - state.budget.entry_silence
-    for guarded in list(state.runs.values()):
-        if state.heard.get(guarded.coordinator, state.origin) < limit:
-            effects += supervisor_commands.end_run_early(
-                state, guarded, EndReason.COORDINATOR_SILENT, now
+    for local in list(state.runs.values()):
+        if state.heard.get(local.coordinator, state.origin) < limit:
+            effects += supervisor_commands.cancel_run(
+                state, local, EndReason.COORDINATOR_SILENT, now
             )
     for entry, heard in list(state.heard.items()):
         if heard < limit and entry not in state.peers:
@@ -189,7 +191,7 @@
     return effects
 
 
-_take.register(Drain, begin_stop)
-_take_message.register(PlaceRun, take_placed)
-_take_message.register(AskRun, take_asked)
-_take_message.register(WithdrawRun, take_withdrawn)
+_handle.register(Drain, begin_stop)
+_handle_message.register(PlaceRun, handle_placement)
+_handle_message.register(AskRun, handle_run_query)
+_handle_message.register(WithdrawRun, handle_withdrawal)
--- a/gypsumspoke/runs/supervisor_commands.py
+++ b/gypsumspoke/runs/supervisor_commands.py
@@ -5,19 +5,19 @@
 from functools import partial
 
 from gypsumspoke.core.effects import Effect, Log
-from gypsumspoke.runs.supervisor_ends import finish, note_failure
+from gypsumspoke.runs.supervisor_ends import finish, update_failure_share
 from gypsumspoke.runs.supervisor_incarnation import (
-    is_of_this_life,
-    note_clock,
+    is_from_current_incarnation,
     raise_token,
+    record_worker_clock,
 )
-from gypsumspoke.runs.supervisor_lease import last_word, name_lease_end
+from gypsumspoke.runs.supervisor_lease import extend_lease, last_heard
 from gypsumspoke.runs.supervisor_report import is_failing
 from gypsumspoke.runs.supervisor_state import (
+    LocalRun,
     Phase,
-    SupervisedRun,
     SupervisorState,
-    hold_room,
+    reserve_room,
 )
 from gypsumspoke.runs.values import EndReason, RunEnd
 from gypsumspoke.runs.worker_commands import (
@@ -35,92 +35,91 @@
 PROBE_INTERVAL = timedelta(milliseconds=700)
 
 
-def start_run(
-    state: SupervisorState, guarded: SupervisedRun, now: datetime
-) -> list[Effect]:
+def start_run(state: SupervisorState, local: LocalRun, now: datetime) -> list[Effect]:
     """Take the room and tell the worker to start a waiting run."""
-    guarded.phase = Phase.STARTING
-    guarded.started = now
-    guarded.progressed = now
-    hold_room(state, guarded)
+    local.phase = Phase.STARTING
+    local.started_at = now
+    local.progressed_at = now
+    reserve_room(state, local)
     if is_failing(state):
         state.next_probe = now + PROBE_INTERVAL
     order = StartCommand(
-        guarded.run,
-        guarded.spec,
+        local.run,
+        local.spec,
         state.worker.id,
-        name_lease_end(state, now),
+        extend_lease(state, now),
         state.token,
     )
     return [order]
 
 
-def end_run_early(
-    state: SupervisorState, guarded: SupervisedRun, reason: EndReason, now: datetime
+def cancel_run(
+    state: SupervisorState, local: LocalRun, reason: EndReason, now: datetime
 ) -> list[Effect]:
     """Drop a waiting run, or have a started one stopped."""
-    if guarded.phase is Phase.WAITING:
-        return finish(state, guarded, RunEnd.NOT_RUN, reason, now)
-    if guarded.phase is Phase.STOPPING:
+    if local.phase is Phase.WAITING:
+        return finish(state, local, RunEnd.NOT_RUN, reason, now)
+    if local.phase is Phase.STOPPING:
         return []
-    guarded.stop_word = last_word(state, guarded)
-    guarded.phase = Phase.STOPPING
-    guarded.stop_reason = reason
-    guarded.stop_since = now
-    return _send_stop(state, guarded, now)
+    local.heard_before_stop = last_heard(state, local)
+    local.phase = Phase.STOPPING
+    local.stop_reason = reason
+    local.stop_requested_at = now
+    return _send_stop(state, local, now)
 
 
-def repeat_stops(state: SupervisorState, now: datetime) -> list[Effect]:
+def retry_stops(state: SupervisorState, now: datetime) -> list[Effect]:
     """Send stops again that got no answer."""
     effects: list[Effect] = []
-    for guarded in state.runs.values():
-        if guarded.phase is not Phase.STOPPING or guarded.stop_clock is not None:
+    for local in state.runs.values():
+        if local.phase is not Phase.STOPPING or local.stop_clock is not None:
             continue
-        if guarded.stop_sent is None or now - guarded.stop_sent >= STOP_RETRY_INTERVAL:
-            effects += _send_stop(state, guarded, now)
+        if (
+            local.stop_sent_at is None
+            or now - local.stop_sent_at >= STOP_RETRY_INTERVAL
+        ):
+            effects += _send_stop(state, local, now)
     return effects
 
 
-def _send_stop(
-    state: SupervisorState, guarded: SupervisedRun, now: datetime
-) -> list[Effect]:
-    guarded.stop_sent = now
-    return [StopCommand(guarded.run, state.worker_id, state.token)]
+def _send_stop(state: SupervisorState, local: LocalRun, now: datetime) -> list[Effect]:
+    local.stop_sent_at = now
+    return [StopCommand(local.run, state.worker_id, state.token)]
 
 
-def take_answer(
+def handle_answer(
     state: SupervisorState, event: CommandAnswered, now: datetime
 ) -> list[Effect]:
     """Take the worker's answer to a start or a stop."""
-    if not is_of_this_life(state, event.sent):
+    if not is_from_current_incarnation(state, event.sent):
         event = event._replace(clock=None)
-    note_clock(state, event.clock, now)
-    guarded = state.runs.get(event.run)
-    if guarded is None:
+    record_worker_clock(state, event.clock, now)
+    local = state.runs.get(event.run)
+    if local is None:
         return []
     if event.kind is CommandKind.STOP:
-        return _take_stop_answer(state, guarded, event, now)
+        return _handle_stop_answer(state, local, event, now)
     if event.result is CommandResult.ACCEPTED:
-        guarded.start_clock = event.clock
-    return _START_ANSWERS[event.result](state, guarded, now)
+        local.start_clock = event.clock
+    return _START_ANSWERS[event.result](state, local, now)
 
 
-def _take_stop_answer(
+def _handle_stop_answer(
     state: SupervisorState,
-    guarded: SupervisedRun,
+    local: LocalRun,
     event: CommandAnswered,
     now: datetime,
 ) -> list[Effect]:
     """Note when a stop was accepted; repeat an unanswered one."""
     if event.result is CommandResult.ACCEPTED:
-        guarded.stop_clock = event.clock
+        local.stop_clock = event.clock
         return []
-    if event.result is CommandResult.UNANSWERED and guarded.stop_clock is None:
-        return _send_stop(state, guarded, now)
+    if event.result is CommandResult.UNANSWERED and local.stop_clock is None:
+        return _send_stop(state, local, now)
     return []
 
 
-def extra_hold(state: SupervisorState) -> list[Effect]:
+def extra_renewal(state: SupervisorState) -> list[Effect]:
     """Ask at once, beside the hold under way, what runs and what ended."""
     return [
         RenewCommand(
@@ -129,81 +128,75 @@
     ]
 
 
-def _started(
-    state: SupervisorState, guarded: SupervisedRun, now: datetime
-) -> list[Effect]:
-    if guarded.phase is Phase.STARTING:
-        guarded.phase = Phase.RUNNING
-        guarded.started = now
-        guarded.progressed = now
-    return [_log_start(guarded)]
+def _started(state: SupervisorState, local: LocalRun, now: datetime) -> list[Effect]:
+    if local.phase is Phase.STARTING:
+        local.phase = Phase.RUNNING
+        local.started_at = now
+        local.progressed_at = now
+    return [_log_start(local)]
 
 
-def _not_started(
-    reason: EndReason, state: SupervisorState, guarded: SupervisedRun, now: datetime
+def _rejected(
+    reason: EndReason, state: SupervisorState, local: LocalRun, now: datetime
 ) -> list[Effect]:
     if reason is EndReason.WORKER_UNHEALTHY:
-        note_failure(state, 1.0)
+        update_failure_share(state, 1.0)
     if reason is EndReason.WORKER_GONE:
         # Nothing listens there. What comes next would be refused in the same way, until
         # a hold is answered again.
-        state.heard_worker = None
-    return finish(state, guarded, RunEnd.NOT_RUN, reason, now)
+        state.worker_answered_at = None
+    return finish(state, local, RunEnd.NOT_RUN, reason, now)
 
 
-def _in_doubt(
-    state: SupervisorState, guarded: SupervisedRun, now: datetime
-) -> list[Effect]:
+def _unanswered(state: SupervisorState, local: LocalRun, now: datetime) -> list[Effect]:
     """Ask whether a run is at work whose start got no answer.
 
     A worker that was slow for a moment shows the run, and nothing is lost.
     """
-    if guarded.phase is not Phase.STARTING:
+    if local.phase is not Phase.STARTING:
         return []
-    guarded.in_doubt = True
-    guarded.doubted = now
-    return extra_hold(state)
+    local.is_uncertain = True
+    local.uncertain_since = now
+    return extra_renewal(state)
 
 
-def give_up_start(
-    state: SupervisorState, guarded: SupervisedRun, now: datetime
+def stop_uncertain_run(
+    state: SupervisorState, local: LocalRun, now: datetime
 ) -> list[Effect]:
     """Stop a run whose start got no answer and which does not show.
 
     The stop makes the worker refuse this run from then on, so that what follows is
     certain: either its end is listed, or it never starts.
     """
-    note_failure(state, 1.0)
-    return end_run_early(state, guarded, EndReason.START_UNANSWERED, now)
+    update_failure_share(state, 1.0)
+    return cancel_run(state, local, EndReason.START_UNANSWERED, now)
 
 
-def _fenced(
-    state: SupervisorState, guarded: SupervisedRun, now: datetime
-) -> list[Effect]:
+def _fenced(state: SupervisorState, local: LocalRun, now: datetime) -> list[Effect]:
     raise_token(state, now)
-    return _not_started(EndReason.ORDER_STALE, state, guarded, now)
+    return _rejected(EndReason.ORDER_STALE, state, local, now)
 
 
 _START_ANSWERS = {
     CommandResult.ACCEPTED: _started,
-    CommandResult.UNANSWERED: _in_doubt,
+    CommandResult.UNANSWERED: _unanswered,
     CommandResult.FENCED: _fenced,
-    CommandResult.NUMBER_TOO_LOW: partial(_not_started, EndReason.NUMBER_TOO_LOW),
-    CommandResult.LATE: partial(_not_started, EndReason.START_LATE),
-    CommandResult.NO_ROOM: partial(_not_started, EndReason.WORKER_REFUSED_ROOM),
-    CommandResult.INVALID: partial(_not_started, EndReason.WORKER_UNHEALTHY),
-    CommandResult.UNHEALTHY: partial(_not_started, EndReason.WORKER_UNHEALTHY),
-    CommandResult.OTHER_WORKER: partial(_not_started, EndReason.WORKER_GONE),
-    CommandResult.NOT_SENT: partial(_not_started, EndReason.WORKER_GONE),
+    CommandResult.NUMBER_TOO_LOW: partial(_rejected, EndReason.NUMBER_TOO_LOW),
+    CommandResult.LATE: partial(_rejected, EndReason.START_LATE),
+    CommandResult.NO_ROOM: partial(_rejected, EndReason.WORKER_REFUSED_ROOM),
+    CommandResult.INVALID: partial(_rejected, EndReason.WORKER_UNHEALTHY),
+    CommandResult.UNHEALTHY: partial(_rejected, EndReason.WORKER_UNHEALTHY),
+    CommandResult.OTHER_WORKER: partial(_rejected, EndReason.WORKER_GONE),
+    CommandResult.NOT_SENT: partial(_rejected, EndReason.WORKER_GONE),
 }
 
 
-def _log_start(guarded: SupervisedRun) -> Log:
+def _log_start(local: LocalRun) -> Log:
     fields = (
-        ("job", guarded.run.task.job),
-        ("step", guarded.run.task.step),
-        ("run", guarded.run.number),
-        ("entry", guarded.coordinator),
-        ("cpu", guarded.room.cpu),
+        ("job", local.run.task.job),
+        ("step", local.run.task.step),
+        ("run", local.run.number),
+        ("entry", local.coordinator),
+        ("cpu", local.room.cpu),
     )
-    return Log(logging.INFO, "run started", task=guarded.run.task.index, fields=fields)
+    return Log(logging.INFO, "run started", task=local.run.task.index, fields=fields)
--- a/gypsumspoke/runs/supervisor_ends.py
+++ b/gypsumspoke/runs/supervisor_ends.py
@@ -6,10 +6,10 @@
 from gypsumspoke.core.effects import Count, Effect, Log, Send
 from gypsumspoke.runs.messages import RunEnded
 from gypsumspoke.runs.supervisor_state import (
+    LocalRun,
     Phase,
-    SupervisedRun,
     SupervisorState,
-    keep_end,
+    record_end,
 )
 from gypsumspoke.runs.values import EndReason, RunEnd, subtract
 
@@ -21,46 +21,46 @@
 
 def finish(
     state: SupervisorState,
-    guarded: SupervisedRun,
+    local: LocalRun,
     end: RunEnd,
     reason: EndReason,
     now: datetime,
 ) -> list[Effect]:
     """Free the room, remember the end and tell the entry."""
-    del state.runs[guarded.run]
-    if guarded.phase is not Phase.WAITING:
-        state.held = subtract(state.held, guarded.room)
-    _learn(state, guarded, end, now)
+    del state.runs[local.run]
+    if local.phase is not Phase.WAITING:
+        state.reserved = subtract(state.reserved, local.room)
+    _update_statistics(state, local, end, now)
     took = None
-    if end is not RunEnd.NOT_RUN and guarded.started is not None:
-        took = now - guarded.started
-    highest = state.highest.get(guarded.run.task, 0)
-    ended = RunEnded(guarded.run, end, reason, took, highest)
-    keep_end(state, guarded.coordinator, ended)
+    if end is not RunEnd.NOT_RUN and local.started_at is not None:
+        took = now - local.started_at
+    highest = state.highest.get(local.run.task, 0)
+    ended = RunEnded(local.run, end, reason, took, highest)
+    record_end(state, local.coordinator, ended)
     return [
         Count(reason),
-        Send(guarded.coordinator, ended),
-        log_end(ended, guarded.coordinator),
+        Send(local.coordinator, ended),
+        log_end(ended, local.coordinator),
     ]
 
 
-def _learn(
-    state: SupervisorState, guarded: SupervisedRun, end: RunEnd, now: datetime
+def _update_statistics(
+    state: SupervisorState, local: LocalRun, end: RunEnd, now: datetime
 ) -> None:
     """Learn the worker's pace from what is done, and its health from all ends."""
     if end is RunEnd.FAILED:
-        note_failure(state, 1.0)
+        update_failure_share(state, 1.0)
     if end is not RunEnd.DONE:
         return
-    note_failure(state, 0.0)
-    seconds = guarded.estimate.total_seconds()
-    if seconds > 0 and guarded.started is not None:
-        pace = (now - guarded.started).total_seconds() / seconds
+    update_failure_share(state, 0.0)
+    seconds = local.estimate.total_seconds()
+    if seconds > 0 and local.started_at is not None:
+        pace = (now - local.started_at).total_seconds() / seconds
         known = state.pace or pace
         state.pace = known + PACE_WEIGHT * (pace - known)
 
 
-def note_failure(state: SupervisorState, value: float) -> None:
+def update_failure_share(state: SupervisorState, value: float) -> None:
     state.failing += FAILING_WEIGHT * (value - state.failing)
 
 
--- a/gypsumspoke/runs/supervisor_incarnation.py
+++ b/gypsumspoke/runs/supervisor_incarnation.py
@@ -9,7 +9,7 @@
 from gypsumspoke.runs.values import Registration
 
 
-def take_registration(
+def handle_registration(
     state: SupervisorState, registration: Registration, now: datetime
 ) -> list[Effect]:
     """Take what the worker says of itself, unless it is old or another service's."""
@@ -19,13 +19,16 @@
     known = state.worker
     if known is not None and _is_older(registration, known):
         return []
-    if state.born is not None and registration.incarnation < state.born:
+    if (
+        state.worker_incarnation is not None
+        and registration.incarnation < state.worker_incarnation
+    ):
         # A list of the worker has shown a later life already.
         return []
     effects: list[Effect] = []
     if known is None or registration.incarnation != known.incarnation:
         effects += _log_registration(registration)
-        take_life(state, registration.incarnation, now)
+        handle_new_incarnation(state, registration.incarnation, now)
     elif registration.state is not known.state:
         effects += _log_registration(registration)
     state.worker = registration
@@ -53,18 +56,18 @@
     return [Log(logging.INFO, "worker registered", fields=fields)]
 
 
-def take_life(state: SupervisorState, born: int, now: datetime) -> None:
+def handle_new_incarnation(state: SupervisorState, born: int, now: datetime) -> None:
     """Go over to a new life of the worker, which knows and runs nothing of before.
 
     Its ends count from 1 again. Compared with the old count they would all seem taken
     note of, and the worker would look full for good. Runs are not given up here: one
     may have been started on the new life before it showed. The next list tells.
     """
-    if state.born == born:
+    if state.worker_incarnation == born:
         return
-    is_first = state.born is None
-    state.born = born
-    state.born_learnt = now
+    is_first = state.worker_incarnation is None
+    state.worker_incarnation = born
+    state.incarnation_seen_at = now
     if is_first:
         return
     if state.token > 0:
@@ -75,32 +78,34 @@
     state.last_seen = 0
     state.orphans.clear()
     state.list_clock = timedelta()
-    state.quiet_from = timedelta()
+    state.lists_complete_from = timedelta()
     state.failing = 0.0
     state.pace = 0.0
-    for guarded in state.runs.values():
+    for local in state.runs.values():
         # Times of the old life's clock say nothing on the new one.
-        guarded.start_clock = None
-        guarded.stop_clock = None
-        guarded.outlived = guarded.phase is not Phase.WAITING
+        local.start_clock = None
+        local.stop_clock = None
+        local.worker_restarted = local.phase is not Phase.WAITING
     # A start that was meant for the old life named a time of the old clock, which may
     # be far ahead on the new one; the worker shortens such a lease to its maximum.
     ends_by = max(state.lease.ends_by, now + state.budget.max_lease_on_slow_clock)
     state.lease = Lease(None, now, ends_by)
 
 
-def is_of_this_life(state: SupervisorState, sent: datetime | None) -> bool:
+def is_from_current_incarnation(state: SupervisorState, sent: datetime | None) -> bool:
     """Return whether an answer must be one of the worker's newest life.
 
     An order that was sent before that life showed may have been answered by the one
     before, whose clock says nothing on this one.
     """
-    if sent is None or state.born_learnt is None:
+    if sent is None or state.incarnation_seen_at is None:
         return True
-    return sent > state.born_learnt
+    return sent > state.incarnation_seen_at
 
 
-def note_clock(state: SupervisorState, clock: timedelta | None, now: datetime) -> None:
+def record_worker_clock(
+    state: SupervisorState, clock: timedelta | None, now: datetime
+) -> None:
     """Learn the worker's clock; what the answer took makes it too low, if at all."""
     if clock is not None:
         state.lease = state.lease._replace(clock=clock, read_at=now)
@@ -124,7 +129,7 @@
         state.token = max(state.token, clock, 1)
 
 
-def outbid_token(state: SupervisorState, refused: int, now: datetime) -> None:
+def raise_refused_token(state: SupervisorState, refused: int, now: datetime) -> None:
     """Take a higher token after the worker refused an order for its token.
 
     The clock is not enough on a young life: an earlier process of this sidecar may have
--- a/gypsumspoke/runs/supervisor_orphans.py
+++ b/gypsumspoke/runs/supervisor_orphans.py
@@ -29,12 +29,12 @@
     """
     unknown = {listed.run for listed in event.running if listed.run not in state.runs}
     fresh = unknown - state.orphans.keys()
-    if state.quiet_from is None:
-        state.quiet_from = _quiet_from(state, event)
+    if state.lists_complete_from is None:
+        state.lists_complete_from = _lists_complete_from(state, event)
     # Answers on different connections overtake each other.
     if event.clock >= state.list_clock:
         state.list_clock = event.clock
-        _forget_gone(state, event)
+        _forget_ended_orphans(state, event)
     state.orphans.update(dict.fromkeys(unknown))
     effects: list[Effect] = [
         StopCommand(run, state.worker_id, state.token) for run in sorted(unknown)
@@ -45,7 +45,7 @@
     return effects
 
 
-def _quiet_from(state: SupervisorState, event: RenewalAnswered) -> timedelta:
+def _lists_complete_from(state: SupervisorState, event: RenewalAnswered) -> timedelta:
     """Return from when on, by the worker's clock, no list hides an unknown run.
 
     A run may have been in the middle of its stop when the first list was made. A worker
@@ -56,7 +56,7 @@
     return event.clock + state.budget.stop_settle_time
 
 
-def _forget_gone(state: SupervisorState, event: RenewalAnswered) -> None:
+def _forget_ended_orphans(state: SupervisorState, event: RenewalAnswered) -> None:
     listed = {running.run for running in event.running}
     ended = {end.run for end in event.ended}
     for run, vanished in list(state.orphans.items()):
--- a/gypsumspoke/runs/supervisor_queue.py
+++ b/gypsumspoke/runs/supervisor_queue.py
@@ -8,59 +8,59 @@
 
 from gypsumspoke.core.effects import Effect
 from gypsumspoke.runs import supervisor_commands, supervisor_report
-from gypsumspoke.runs.supervisor_lease import may_start, may_start_run
-from gypsumspoke.runs.supervisor_state import Phase, SupervisedRun, SupervisorState
+from gypsumspoke.runs.supervisor_lease import lease_allows_run, lease_allows_start
+from gypsumspoke.runs.supervisor_state import LocalRun, Phase, SupervisorState
 from gypsumspoke.runs.values import EndReason, fits, subtract
 
 
-def start_waiting(state: SupervisorState, now: datetime) -> list[Effect]:
+def start_waiting_runs(state: SupervisorState, now: datetime) -> list[Effect]:
     """Start what fits, by priority and arrival; nothing overtakes what waits."""
-    effects = _drop_overdue(state, now)
+    effects = _cancel_overdue_runs(state, now)
     if not supervisor_report.can_start(state, now):
         return effects
-    queue = waiting(state)
-    if not queue or not may_start(state, now):
+    queue = waiting_runs(state)
+    if not queue or not lease_allows_start(state, now):
         return effects
-    free = subtract(state.worker.capacity, state.held)
+    free = subtract(state.worker.capacity, state.reserved)
     busy = {
-        guarded.run.task
-        for guarded in state.runs.values()
-        if guarded.phase is not Phase.WAITING
+        local.run.task
+        for local in state.runs.values()
+        if local.phase is not Phase.WAITING
     }
-    for guarded in queue:
-        if guarded.run.task in busy:
+    for local in queue:
+        if local.run.task in busy:
             continue
-        if not may_start_run(state, guarded, now):
+        if not lease_allows_run(state, local, now):
             continue
-        if not fits(guarded.room, free):
+        if not fits(local.room, free):
             break
-        free = subtract(free, guarded.room)
-        busy.add(guarded.run.task)
-        effects += supervisor_commands.start_run(state, guarded, now)
+        free = subtract(free, local.room)
+        busy.add(local.run.task)
+        effects += supervisor_commands.start_run(state, local, now)
     return effects
 
 
-def waiting(state: SupervisorState) -> list[SupervisedRun]:
+def waiting_runs(state: SupervisorState) -> list[LocalRun]:
     """Return the waiting runs, the next one first."""
     found = [run for run in state.runs.values() if run.phase is Phase.WAITING]
-    found.sort(key=lambda guarded: (guarded.priority, guarded.order))
+    found.sort(key=lambda local: (local.priority, local.placement_number))
     return found
 
 
-def _drop_overdue(state: SupervisorState, now: datetime) -> list[Effect]:
+def _cancel_overdue_runs(state: SupervisorState, now: datetime) -> list[Effect]:
     effects: list[Effect] = []
-    for guarded in list(state.runs.values()):
-        if guarded.phase is Phase.WAITING and guarded.start_by < now:
-            effects += supervisor_commands.end_run_early(
-                state, guarded, EndReason.DEADLINE_PASSED, now
+    for local in list(state.runs.values()):
+        if local.phase is Phase.WAITING and local.start_by < now:
+            effects += supervisor_commands.cancel_run(
+                state, local, EndReason.DEADLINE_PASSED, now
             )
     return effects
 
 
-def refuse_waiting(
+def cancel_waiting_runs(
     state: SupervisorState, reason: EndReason, now: datetime
 ) -> list[Effect]:
     effects: list[Effect] = []
-    for guarded in waiting(state):
-        effects += supervisor_commands.end_run_early(state, guarded, reason, now)
+    for local in waiting_runs(state):
+        effects += supervisor_commands.cancel_run(state, local, reason, now)
     return effects
--- a/gypsumspoke/runs/supervisor_renewals.py
+++ b/gypsumspoke/runs/supervisor_renewals.py
@@ -3,18 +3,18 @@
 from datetime import datetime, timedelta
 
 from gypsumspoke.core.effects import Effect
-from gypsumspoke.runs.supervisor_commands import end_run_early, give_up_start
-from gypsumspoke.runs.supervisor_ends import finish, note_failure
+from gypsumspoke.runs.supervisor_commands import cancel_run, stop_uncertain_run
+from gypsumspoke.runs.supervisor_ends import finish, update_failure_share
 from gypsumspoke.runs.supervisor_incarnation import (
-    is_of_this_life,
-    note_clock,
-    outbid_token,
+    handle_new_incarnation,
+    is_from_current_incarnation,
+    raise_refused_token,
     raise_token,
-    take_life,
+    record_worker_clock,
 )
-from gypsumspoke.runs.supervisor_lease import name_lease_end, note_withheld
+from gypsumspoke.runs.supervisor_lease import extend_lease, update_lease_withheld
 from gypsumspoke.runs.supervisor_orphans import stop_orphans
-from gypsumspoke.runs.supervisor_state import Phase, SupervisedRun, SupervisorState
+from gypsumspoke.runs.supervisor_state import LocalRun, Phase, SupervisorState
 from gypsumspoke.runs.values import EndReason, RunEnd
 from gypsumspoke.runs.worker_commands import (
     CommandResult,
@@ -29,13 +29,13 @@
 # A run without progress for this long, or this share of its estimate, stands still. A
 # sound worker shows progress with each hold; one that is eight times slower still shows
 # a percent in a twelfth of the estimate.
-STALL_AT_LEAST = timedelta(milliseconds=220)
+MIN_STALL_DURATION = timedelta(milliseconds=220)
 STALL_SHARE = 0.15
 # So many lists must have shown the same progress.
-STALL_LISTS = 2
+MIN_STALLED_LISTS = 2
 
 
-def next_hold(state: SupervisorState, now: datetime) -> list[Effect]:
+def next_renewal(state: SupervisorState, now: datetime) -> list[Effect]:
     """Ask the worker again unless an answer is awaited.
 
     While the worker leaves holds unanswered, they no longer extend the lease: its runs
@@ -44,13 +44,13 @@
     after a loss of all processes each wait would keep the worker idle.
     """
     interval = state.budget.renewal_interval
-    if state.hold_sent is not None:
-        overdue = state.hold_sent + interval + 2 * COMMAND_TIMEOUT
+    if state.renewal_sent_at is not None:
+        overdue = state.renewal_sent_at + interval + 2 * COMMAND_TIMEOUT
         if now < overdue:
             return []
-    state.hold_sent = now
-    state.hold_number += 1
-    lease_end = name_lease_end(state, now) if _may_extend(state, now) else None
+    state.renewal_sent_at = now
+    state.renewal_number += 1
+    lease_end = extend_lease(state, now) if _may_extend_lease(state, now) else None
     wait = interval if state.is_fenced else timedelta()
     hold = RenewCommand(
         state.worker_id,
@@ -58,23 +58,23 @@
         state.last_seen,
         wait,
         state.token,
-        number=state.hold_number,
+        number=state.renewal_number,
     )
-    return [hold, *note_withheld(state, now)]
+    return [hold, *update_lease_withheld(state, now)]
 
 
-def _may_extend(state: SupervisorState, now: datetime) -> bool:
+def _may_extend_lease(state: SupervisorState, now: datetime) -> bool:
     if state.token == 0 or state.lease.clock is None:
         return False
-    if state.heard_worker is None:
+    if state.worker_answered_at is None:
         return False
     if state.orphans:
         # Nothing but the end of the lease stops them if the stops are lost.
         return False
-    return now - state.heard_worker < state.budget.worker_silence
+    return now - state.worker_answered_at < state.budget.worker_silence
 
 
-def take_failed_hold(
+def handle_renewal_failure(
     state: SupervisorState, event: RenewalFailed, now: datetime
 ) -> list[Effect]:
     """Take a hold without a list.
@@ -84,116 +84,118 @@
     process of this sidecar, and its first refusal tells the clock that tokens are from.
     After other failures, which come at once, the next tick asks again.
     """
-    note_clock(state, event.clock, now)
+    record_worker_clock(state, event.clock, now)
     token = state.token
     if event.result is CommandResult.FENCED:
-        outbid_token(state, event.token, now)
+        raise_refused_token(state, event.token, now)
     if event.is_extra:
-        return _give_up_starts(state, now, now)
-    _note_answered(state, event.number)
+        return _stop_uncertain_runs(state, now, now)
+    _clear_pending_renewal(state, event.number)
     if event.result is CommandResult.UNANSWERED or state.token > token:
-        return next_hold(state, now)
+        return next_renewal(state, now)
     return []
 
 
-def _note_answered(state: SupervisorState, number: int) -> None:
+def _clear_pending_renewal(state: SupervisorState, number: int) -> None:
     """Note that the hold under way is over, if it was that one.
 
     After a pause of this process the answer to an earlier one may follow. Taken for
     that of the newest, two holds would be under way from then on.
     """
-    if number == state.hold_number:
-        state.hold_sent = None
+    if number == state.renewal_number:
+        state.renewal_sent_at = None
 
 
-def take_hold(
+def handle_renewal_answer(
     state: SupervisorState, event: RenewalAnswered, now: datetime
 ) -> list[Effect]:
     """Take the worker's list of what runs and what ended."""
     if not event.is_extra:
-        _note_answered(state, event.number)
-    if event.born is not None and event.born != state.born:
-        if not is_of_this_life(state, event.sent):
+        _clear_pending_renewal(state, event.number)
+    if event.incarnation is not None and event.incarnation != state.worker_incarnation:
+        if not is_from_current_incarnation(state, event.sent):
             # An answer of the old life, overtaken by a heartbeat of the new one.
             return []
-        take_life(state, event.born, now)
+        handle_new_incarnation(state, event.incarnation, now)
     effects: list[Effect] = []
-    is_first = state.heard_worker is None
-    state.heard_worker = now
-    note_clock(state, event.clock, now)
+    is_first = state.worker_answered_at is None
+    state.worker_answered_at = now
+    record_worker_clock(state, event.clock, now)
     if state.token == 0:
         raise_token(state, now)
     # A hold that was sent without this token shows nothing of it.
     state.is_fenced = state.is_fenced or event.token == state.token
     for ended in event.ended:
-        effects += _take_end(state, ended, now)
-    _note_progress(state, event, now)
-    effects += _give_up_starts(state, event.sent, now)
-    effects += _take_unlisted(state, event, now)
+        effects += _handle_listed_end(state, ended, now)
+    _update_progress(state, event, now)
+    effects += _stop_uncertain_runs(state, event.sent, now)
+    effects += _end_unlisted_runs(state, event, now)
     effects += _stop_stalled(state, now)
     return [*effects, *stop_orphans(state, event, is_first)]
 
 
-def _take_end(state: SupervisorState, ended: EndedRun, now: datetime) -> list[Effect]:
+def _handle_listed_end(
+    state: SupervisorState, ended: EndedRun, now: datetime
+) -> list[Effect]:
     if ended.number <= state.last_seen:
         return []
     state.last_seen = ended.number
-    guarded = state.runs.get(ended.run)
-    if guarded is None or guarded.phase is Phase.WAITING:
+    local = state.runs.get(ended.run)
+    if local is None or local.phase is Phase.WAITING:
         return []
-    return finish(state, guarded, ended.end, _reason(guarded, ended), now)
+    return finish(state, local, ended.end, _end_reason(local, ended), now)
 
 
-def _reason(guarded: SupervisedRun, ended: EndedRun) -> EndReason:
+def _end_reason(local: LocalRun, ended: EndedRun) -> EndReason:
     if ended.end is RunEnd.DONE:
         return EndReason.COMPLETED
     if ended.end is RunEnd.FAILED:
         return EndReason.TASK_FAILED
     if ended.lapsed:
         return EndReason.LEASE_LAPSED
-    if guarded.phase is Phase.STOPPING:
-        return guarded.stop_reason
+    if local.phase is Phase.STOPPING:
+        return local.stop_reason
     return EndReason.STOPPED_BY_WORKER
 
 
-def _note_progress(
+def _update_progress(
     state: SupervisorState, event: RenewalAnswered, now: datetime
 ) -> None:
     for listed in event.running:
-        guarded = state.runs.get(listed.run)
-        if guarded is None:
+        local = state.runs.get(listed.run)
+        if local is None:
             continue
-        if guarded.phase is Phase.STARTING:
+        if local.phase is Phase.STARTING:
             # The answer to its start is late or lost, but here it is.
-            guarded.phase = Phase.RUNNING
-        guarded.in_doubt = False
+            local.phase = Phase.RUNNING
+        local.is_uncertain = False
         # Known to be at work then; without it an older list that came late, on another
         # connection, would make a run whose start got no answer seem to be gone.
-        if guarded.start_clock is None or event.clock > guarded.start_clock:
-            guarded.start_clock = event.clock
-        guarded.lists_since += 1
-        if listed.percent != guarded.percent:
-            gained = listed.percent - guarded.percent
-            if guarded.percent > 0 and gained > 0:
-                guarded.whole = (now - guarded.progressed) * 100 / gained
-            guarded.percent = listed.percent
-            guarded.progressed = now
-            guarded.lists_since = 0
-
-
-def _give_up_starts(
+        if local.start_clock is None or event.clock > local.start_clock:
+            local.start_clock = event.clock
+        local.lists_since_progress += 1
+        if listed.percent != local.percent:
+            gained = listed.percent - local.percent
+            if local.percent > 0 and gained > 0:
+                local.projected_run_time = (now - local.progressed_at) * 100 / gained
+            local.percent = listed.percent
+            local.progressed_at = now
+            local.lists_since_progress = 0
+
+
+def _stop_uncertain_runs(
     state: SupervisorState, asked: datetime, now: datetime
 ) -> list[Effect]:
     """Stop runs in doubt that a list, asked for after the doubt, does not show."""
     effects: list[Effect] = []
-    for guarded in list(state.runs.values()):
-        if guarded.phase is Phase.STARTING and guarded.in_doubt:
-            if guarded.doubted <= asked:
-                effects += give_up_start(state, guarded, now)
+    for local in list(state.runs.values()):
+        if local.phase is Phase.STARTING and local.is_uncertain:
+            if local.uncertain_since <= asked:
+                effects += stop_uncertain_run(state, local, now)
     return effects
 
 
-def _take_unlisted(
+def _end_unlisted_runs(
     state: SupervisorState, event: RenewalAnswered, now: datetime
 ) -> list[Effect]:
     """End runs that the worker neither runs nor lists as ended.
@@ -203,43 +205,43 @@
     """
     listed = {running.run for running in event.running}
     effects: list[Effect] = []
-    for guarded in list(state.runs.values()):
-        if guarded.run in listed or guarded.phase is Phase.WAITING:
+    for local in list(state.runs.values()):
+        if local.run in listed or local.phase is Phase.WAITING:
             continue
-        if guarded.phase is Phase.RUNNING and _is_after_start(event, guarded):
-            effects += finish(state, guarded, RunEnd.LOST, EndReason.WORKER_GONE, now)
-        elif _is_after_stop(state, event, guarded):
-            end = RunEnd.NOT_RUN if _never_ran(guarded) else RunEnd.STOPPED
-            effects += finish(state, guarded, end, guarded.stop_reason, now)
+        if local.phase is Phase.RUNNING and _is_after_start(event, local):
+            effects += finish(state, local, RunEnd.LOST, EndReason.WORKER_GONE, now)
+        elif _is_after_stop(state, event, local):
+            end = RunEnd.NOT_RUN if _never_started(local) else RunEnd.STOPPED
+            effects += finish(state, local, end, local.stop_reason, now)
     return effects
 
 
-def _never_ran(guarded: SupervisedRun) -> bool:
+def _never_started(local: LocalRun) -> bool:
     """Return whether a stopped run without a listed end was certainly not started.
 
     An earlier life of the worker may have started it; the next one knows nothing of it.
     """
-    return guarded.in_doubt and not guarded.outlived
+    return local.is_uncertain and not local.worker_restarted
 
 
-def _is_after_start(event: RenewalAnswered, guarded: SupervisedRun) -> bool:
-    if guarded.start_clock is None:
+def _is_after_start(event: RenewalAnswered, local: LocalRun) -> bool:
+    if local.start_clock is None:
         # Started on a life that has ended, or on the next one before it showed.
-        return guarded.started < event.sent
-    return event.clock > guarded.start_clock
+        return local.started_at < event.sent
+    return event.clock > local.start_clock
 
 
 def _is_after_stop(
-    state: SupervisorState, event: RenewalAnswered, guarded: SupervisedRun
+    state: SupervisorState, event: RenewalAnswered, local: LocalRun
 ) -> bool:
     """Return whether a stopped run that no list shows is gone for certain.
 
     While it is being stopped a run is at work and in neither list. Taken for gone at
     once, its task was placed again beside it.
     """
-    if guarded.stop_clock is None:
+    if local.stop_clock is None:
         return False
-    return event.clock > guarded.stop_clock + state.budget.stop_settle_time
+    return event.clock > local.stop_clock + state.budget.stop_settle_time
 
 
 def _stop_stalled(state: SupervisorState, now: datetime) -> list[Effect]:
@@ -249,22 +251,25 @@
     known of progress, and sound runs would seem to stand still.
     """
     effects: list[Effect] = []
-    for guarded in list(state.runs.values()):
-        if guarded.phase is not Phase.RUNNING or guarded.percent >= 100:
+    for local in list(state.runs.values()):
+        if local.phase is not Phase.RUNNING or local.percent >= 100:
             continue
-        limit = max(STALL_AT_LEAST, guarded.estimate * STALL_SHARE)
-        if guarded.lists_since >= STALL_LISTS and now - guarded.progressed > limit:
-            note_failure(state, 1.0)
-            effects += end_run_early(state, guarded, EndReason.STALLED, now)
+        limit = max(MIN_STALL_DURATION, local.estimate * STALL_SHARE)
+        if (
+            local.lists_since_progress >= MIN_STALLED_LISTS
+            and now - local.progressed_at > limit
+        ):
+            update_failure_share(state, 1.0)
+            effects += cancel_run(state, local, EndReason.STALLED, now)
     return effects
 
 
-def check_lease(state: SupervisorState, now: datetime) -> list[Effect]:
+def expire_runs(state: SupervisorState, now: datetime) -> list[Effect]:
     """Give up the runs of a worker whose lease has certainly ended them."""
     if now <= state.lease.ends_by + state.budget.bounds.stop:
         return []
     effects: list[Effect] = []
-    for guarded in list(state.runs.values()):
-        if guarded.phase is not Phase.WAITING:
-            effects += finish(state, guarded, RunEnd.LOST, EndReason.LEASE_LAPSED, now)
+    for local in list(state.runs.values()):
+        if local.phase is not Phase.WAITING:
+            effects += finish(state, local, RunEnd.LOST, EndReason.LEASE_LAPSED, now)
     return effects
--- a/gypsumspoke/runs/supervisor_report.py
+++ b/gypsumspoke/runs/supervisor_report.py
@@ -15,13 +15,13 @@
 # a sidecar sends does not grow with the entries, nor what an entry takes.
 ENTRIES_AT_FULL_RATE = 4
 # An entry that was told of a change so many ticks ago needs no regular report.
-TOLD_LATELY_TICKS = 0.5
+RECENT_REPORT_TICKS = 0.5
 # So many runs must show a pace, and so clear a change: estimates are far off, but the
 # mean of some seldom is by this much.
-RUNS_THAT_AGREE = 3
-CLEAR_CHANGE = 2.0
+MIN_PACE_RUNS = 3
+MIN_PACE_CHANGE = 2.0
 # A worker whose smoothed share of failed ends is above this fails nearly everything.
-FAILING_SHARE = 0.5
+MAX_FAILURE_SHARE = 0.5
 
 
 def can_start(state: SupervisorState, now: datetime) -> bool:
@@ -29,7 +29,7 @@
     return (
         state.worker is not None
         and state.worker.state is WorkerState.READY
-        and state.draining is None
+        and state.draining_since is None
         and state.knows_all_runs
         and state.token > 0
         and state.lease.clock is not None
@@ -41,14 +41,14 @@
 
 def is_answering(state: SupervisorState, now: datetime) -> bool:
     """Return whether the worker answered a hold a moment ago."""
-    if state.heard_worker is None:
+    if state.worker_answered_at is None:
         return False
-    return now - state.heard_worker < state.budget.worker_silence
+    return now - state.worker_answered_at < state.budget.worker_silence
 
 
 def is_failing(state: SupervisorState) -> bool:
     """Return whether the worker fails most of what it starts."""
-    return state.failing > FAILING_SHARE
+    return state.failing > MAX_FAILURE_SHARE
 
 
 def may_probe(state: SupervisorState, now: datetime) -> bool:
@@ -77,12 +77,12 @@
         takes_work=takes_work(state, now),
         clean=state.is_fenced and state.knows_all_runs,
         capacity=capacity,
-        free=subtract(capacity, state.held),
+        free=subtract(capacity, state.reserved),
         pace=current_pace(state),
         failing=is_failing(state),
         taken=state.taken.get(peer, 0),
     )
-    state.told[peer] = LastReport(now, state.held, message.takes_work)
+    state.last_reports[peer] = LastReport(now, state.reserved, message.takes_work)
     return [Send(peer, message)]
 
 
@@ -94,33 +94,33 @@
     so the runs must agree on a clear change before they are believed.
     """
     paces = [
-        guarded.whole / guarded.estimate
-        for guarded in state.runs.values()
-        if guarded.whole is not None and guarded.estimate
+        local.projected_run_time / local.estimate
+        for local in state.runs.values()
+        if local.projected_run_time is not None and local.estimate
     ]
-    if not state.pace or len(paces) < RUNS_THAT_AGREE:
+    if not state.pace or len(paces) < MIN_PACE_RUNS:
         return state.pace
     shown = geometric_mean(paces)
-    is_clear = max(shown / state.pace, state.pace / shown) >= CLEAR_CHANGE
+    is_clear = max(shown / state.pace, state.pace / shown) >= MIN_PACE_CHANGE
     return shown if is_clear else state.pace
 
 
-def report_regularly(state: SupervisorState, now: datetime) -> list[Effect]:
+def send_regular_reports(state: SupervisorState, now: datetime) -> list[Effect]:
     """Return reports for all entries but those that were told a moment ago.
 
     Left out of every second tick at most, a report is never older than a tick and a
     half, well below the age at which an entry gives a sidecar up.
     """
     effects: list[Effect] = []
-    told_lately = state.budget.tick * TOLD_LATELY_TICKS
+    recently = state.budget.tick * RECENT_REPORT_TICKS
     for peer in sorted(state.peers):
-        told = state.told.get(peer)
-        if told is None or now - told.at >= told_lately:
+        told = state.last_reports.get(peer)
+        if told is None or now - told.at >= recently:
             effects += report_to(state, peer, now)
     return effects
 
 
-def report_changes(state: SupervisorState, now: datetime) -> list[Effect]:
+def send_change_reports(state: SupervisorState, now: datetime) -> list[Effect]:
     """Return reports for the entries that know an old figure of the room.
 
     That the worker takes work now, or no longer, is told at once: after a loss of all
@@ -136,9 +136,9 @@
     )
     takes_work_now = takes_work(state, now)
     for peer in sorted(state.peers):
-        told = state.told.get(peer)
+        told = state.last_reports.get(peer)
         if told is None or told.takes_work is not takes_work_now:
             effects += report_to(state, peer, now)
-        elif told.held != state.held and now - told.at >= interval:
+        elif told.reserved != state.reserved and now - told.at >= interval:
             effects += report_to(state, peer, now)
     return effects
--- a/gypsumspoke/runs/supervisor_state.py
+++ b/gypsumspoke/runs/supervisor_state.py
@@ -19,7 +19,7 @@
 )
 
 # Ends kept to be told again after a lost connection: about a minute of a busy worker.
-KEPT_ENDS = 4000
+MAX_KEPT_ENDS = 4000
 
 
 class Phase(Enum):
@@ -49,11 +49,11 @@
     """The latest report to an entry: when, what was taken, and whether work is."""
 
     at: datetime
-    held: Room
+    reserved: Room
     takes_work: bool
 
 
-class SupervisedRun:
+class LocalRun:
     """One run placed on this sidecar.
 
     Attributes:
@@ -61,7 +61,7 @@
       coordinator: incarnation of the entry that placed it.
       room, priority, estimate, spec: as in PlaceRun.
       start_by: not started later than this.
-      order: rises with each placement; the tie-break within a priority.
+      placement_number: rises with each placement; breaks ties within a priority.
       phase: see Phase.
       started: when the worker accepted the start.
       start_clock: the worker's clock when it last said that the run is at work.
@@ -88,7 +88,7 @@
         estimate: timedelta,
         spec: str,
         start_by: datetime,
-        order: int,
+        placement_number: int,
     ) -> None:
         self.run = run
         self.coordinator = coordinator
@@ -97,22 +97,22 @@
         self.estimate = estimate
         self.spec = spec
         self.start_by = start_by
-        self.order = order
+        self.placement_number = placement_number
         self.phase = Phase.WAITING
-        self.started: datetime | None = None
+        self.started_at: datetime | None = None
         self.start_clock: timedelta | None = None
         self.stop_clock: timedelta | None = None
         self.percent = 0
-        self.progressed: datetime | None = None
-        self.lists_since = 0
-        self.whole: timedelta | None = None
+        self.progressed_at: datetime | None = None
+        self.lists_since_progress = 0
+        self.projected_run_time: timedelta | None = None
         self.stop_reason = EndReason.WITHDRAWN
-        self.stop_since: datetime | None = None
-        self.stop_word: datetime | None = None
-        self.stop_sent: datetime | None = None
-        self.in_doubt = False
-        self.outlived = False
-        self.doubted: datetime | None = None
+        self.stop_requested_at: datetime | None = None
+        self.heard_before_stop: datetime | None = None
+        self.stop_sent_at: datetime | None = None
+        self.is_uncertain = False
+        self.worker_restarted = False
+        self.uncertain_since: datetime | None = None
 
 
 class SupervisorState:
@@ -168,42 +168,42 @@
         self.budget = budget
         self.service = service
         self.worker: Registration | None = None
-        self.born: int | None = None
-        self.born_learnt: datetime | None = None
+        self.worker_incarnation: int | None = None
+        self.incarnation_seen_at: datetime | None = None
         self.token = 0
         self.lease = Lease(None, now, now)
-        self.lease_withheld: datetime | None = None
+        self.lease_withheld_since: datetime | None = None
         self.is_lease_short = False
         self.last_seen = 0
-        self.hold_sent: datetime | None = None
-        self.hold_number = 0
+        self.renewal_sent_at: datetime | None = None
+        self.renewal_number = 0
         self.is_fenced = False
-        self.heard_worker: datetime | None = None
+        self.worker_answered_at: datetime | None = None
         self.orphans: dict[RunId, timedelta | None] = {}
         self.list_clock = timedelta()
-        self.quiet_from: timedelta | None = None
-        self.runs: OrderedDict[RunId, SupervisedRun] = OrderedDict()
-        self.held = NO_ROOM
+        self.lists_complete_from: timedelta | None = None
+        self.runs: OrderedDict[RunId, LocalRun] = OrderedDict()
+        self.reserved = NO_ROOM
         self.ended: OrderedDict[tuple[str, RunId], RunEnded] = OrderedDict()
         self.heard: dict[str, datetime] = {}
         self.taken: dict[str, int] = {}
         self.peers: set[str] = set()
-        self.told: dict[str, LastReport] = {}
+        self.last_reports: dict[str, LastReport] = {}
         self.highest: OrderedDict[TaskId, int] = OrderedDict()
         self.pace = 0.0
         self.failing = 0.0
         self.next_probe: datetime | None = None
-        self.order = 0
-        self.draining: datetime | None = None
-        self.left = False
+        self.placement_count = 0
+        self.draining_since: datetime | None = None
+        self.has_stopped = False
         self.directory = directory
 
     @property
     def knows_all_runs(self) -> bool:
         """Whether nothing that an earlier process started is at work any more."""
-        if self.orphans or self.quiet_from is None:
+        if self.orphans or self.lists_complete_from is None:
             return False
-        return self.list_clock >= self.quiet_from
+        return self.list_clock >= self.lists_complete_from
 
     @property
     def worker_id(self) -> str:
@@ -211,21 +211,21 @@
         return self.worker.id if self.worker else ""
 
 
-def hold_room(state: SupervisorState, guarded: SupervisedRun) -> None:
+def reserve_room(state: SupervisorState, local: LocalRun) -> None:
     """Count a run's room as taken, from just before its start is sent."""
-    state.held = add(state.held, guarded.room)
+    state.reserved = add(state.reserved, local.room)
 
 
-def keep_end(state: SupervisorState, coordinator: str, ended: RunEnded) -> None:
+def record_end(state: SupervisorState, coordinator: str, ended: RunEnded) -> None:
     """Keep an end to tell it again, within the bound."""
     state.ended[coordinator, ended.run] = ended
-    if len(state.ended) > KEPT_ENDS:
+    if len(state.ended) > MAX_KEPT_ENDS:
         state.ended.popitem(last=False)
 
 
-def note_highest(state: SupervisorState, run: RunId) -> None:
+def record_highest(state: SupervisorState, run: RunId) -> None:
     """Remember the highest run number of a task, within the bound."""
     known = state.highest.get(run.task, 0)
     state.highest[run.task] = max(known, run.number)
-    if len(state.highest) > KEPT_ENDS:
+    if len(state.highest) > MAX_KEPT_ENDS:
         state.highest.popitem(last=False)
--- a/gypsumspoke/runs/supervisor_stop.py
+++ b/gypsumspoke/runs/supervisor_stop.py
@@ -6,22 +6,22 @@
 from gypsumspoke.core.effects import Effect, Exit, Log
 from gypsumspoke.core.events import Drain
 from gypsumspoke.runs import supervisor_commands, supervisor_report
-from gypsumspoke.runs.supervisor_queue import refuse_waiting
+from gypsumspoke.runs.supervisor_queue import cancel_waiting_runs
 from gypsumspoke.runs.supervisor_state import SupervisorState
 from gypsumspoke.runs.values import EndReason
 
 # A stopping sidecar ends what still runs this long after the signal; the platform kills
 # the process after a grace of some seconds, and ends must be told before.
-DRAIN_PATIENCE = timedelta(seconds=4.5)
+DRAIN_TIMEOUT = timedelta(seconds=4.5)
 
 
 def begin_stop(event: Drain, state: SupervisorState, now: datetime) -> list[Effect]:
     """Begin the graceful stop, once."""
-    if state.draining is not None:
+    if state.draining_since is not None:
         return []
-    state.draining = now
+    state.draining_since = now
     log = Log(logging.INFO, "stopping", fields=(("runs", len(state.runs)),))
-    effects = [log, *refuse_waiting(state, EndReason.SIDECAR_STOPPING, now)]
+    effects = [log, *cancel_waiting_runs(state, EndReason.SIDECAR_STOPPING, now)]
     for peer in sorted(state.peers):
         effects += supervisor_report.report_to(state, peer, now)
     return effects
@@ -29,16 +29,16 @@
 
 def continue_stop(state: SupervisorState, now: datetime) -> list[Effect]:
     """End the process when nothing runs any more; stop what still does in the end."""
-    if state.draining is None or state.left:
+    if state.draining_since is None or state.has_stopped:
         return []
     if not state.runs and not state.orphans:
-        state.left = True
+        state.has_stopped = True
         return [Log(logging.INFO, "stopped"), Exit()]
-    if now < state.draining + DRAIN_PATIENCE:
+    if now < state.draining_since + DRAIN_TIMEOUT:
         return []
     effects: list[Effect] = []
-    for guarded in list(state.runs.values()):
-        effects += supervisor_commands.end_run_early(
-            state, guarded, EndReason.SIDECAR_STOPPING, now
+    for local in list(state.runs.values()):
+        effects += supervisor_commands.cancel_run(
+            state, local, EndReason.SIDECAR_STOPPING, now
         )
     return effects
--- a/gypsumspoke/runs/worker_commands.py
+++ b/gypsumspoke/runs/worker_commands.py
@@ -121,7 +121,7 @@
     Attributes:
       sent: when the order was sent, by the sidecar's clock.
       clock: the worker's clock in its answer.
-      born: the worker's life; None where it did not say.
+      incarnation: number of the worker's incarnation; None if the answer lacks it.
       running: all runs at work.
       ended: ends beyond ``last_seen``, oldest first.
       is_extra, token, number: as in the order.
@@ -129,7 +129,7 @@
 
     sent: datetime
     clock: timedelta
-    born: int | None
+    incarnation: int | None
     running: tuple[RunningRun, ...]
     ended: tuple[EndedRun, ...]
     is_extra: bool = False
--- a/tests/runs/lone_sidecar.py
+++ b/tests/runs/lone_sidecar.py
@@ -62,7 +62,7 @@
         clock = at if made is None else made
         listed = tuple(RunningRun(run, 50) for run in running)
         token = self.state.token if token is None else token
-        number = self.state.hold_number if number is None else number
+        number = self.state.renewal_number if number is None else number
         ends = tuple(ended)
         return self.take(
             at,
--- a/tests/runs/test_safeguards.py
+++ b/tests/runs/test_safeguards.py
@@ -66,7 +66,7 @@
 AGAINST_OLD_ORDERS = [
     (budget.Budget, "max_placement_age", LONG),
     (budget.Budget, "allowed_lease", lambda self, silence: self.lease),
-    (supervisor_lease, "_ends_in_budget", lambda state, word: True),
+    (supervisor_lease, "_lease_ends_within_budget", lambda state, heard: True),
 ]
 
 
@@ -126,7 +126,7 @@
     ),
     pytest.param(
         [
-            (supervisor_queue, "may_start_run", lambda state, guarded, now: True),
+            (supervisor_queue, "lease_allows_run", lambda state, run, now: True),
         ],
         test_lost_stops.test_a_sidecar_that_wakes_starts_no_run_of_a_lost_entry,
         id="nothing starts for an entry that was not heard lately",
@@ -140,15 +140,23 @@
     ),
     pytest.param(
         [
-            (supervisor_commands, "hold_room", lambda state, guarded: None),
+            (supervisor_commands, "reserve_room", lambda state, run: None),
         ],
         test_job_lifecycle.test_jobs_of_two_entries_share_a_worker_within_its_room,
         id="starts take room",
     ),
     pytest.param(
         [
-            (supervisor_incarnation, "take_life", lambda state, born, now: None),
-            (supervisor_renewals, "take_life", lambda state, born, now: None),
+            (
+                supervisor_incarnation,
+                "handle_new_incarnation",
+                lambda state, number, now: None,
+            ),
+            (
+                supervisor_renewals,
+                "handle_new_incarnation",
+                lambda state, number, now: None,
+            ),
         ],
         test_faults.test_a_worker_that_crashed_is_not_taken_for_full,
         id="a new life counts anew",
@@ -187,7 +195,7 @@
     ),
     pytest.param(
         [
-            (supervisor_placement, "_send_back", lambda state, run, now: []),
+            (supervisor_placement, "_refuse_without_room", lambda state, run, now: []),
         ],
         test_reports.test_a_run_that_finds_no_room_goes_where_there_is_some,
         id="runs without room are sent back",
