--- a/gypsumspoke/runs/supervisor_ends.py
+++ b/gypsumspoke/runs/supervisor_ends.py
@@ -1,4 +1,4 @@
-"""How runs end: the room is free again, the entry is told, the worker is judged."""
+"""Ends of runs: free the room, report to the entry, update the worker's statistics."""
 
 import logging
 from datetime import datetime, timedelta
@@ -13,8 +13,7 @@
 )
 from gypsumspoke.runs.values import EndReason, RunEnd, subtract
 
-# Weight of the newest end in the smoothed pace and share of failures: about the last
-# ten ends decide the pace, the last three whether the worker fails.
+# Weights of the newest end in the smoothed pace and share of failures.
 PACE_WEIGHT = 0.1
 FAILING_WEIGHT = 0.25
 
@@ -26,7 +25,7 @@
     reason: EndReason,
     now: datetime,
 ) -> list[Effect]:
-    """Free the room, remember the end and tell the entry."""
+    """Free the room, keep the end and report it to the entry."""
     del state.runs[local.run]
     if local.phase is not Phase.WAITING:
         state.reserved = subtract(state.reserved, local.room)
@@ -47,7 +46,7 @@
 def _update_statistics(
     state: SupervisorState, local: LocalRun, end: RunEnd, now: datetime
 ) -> None:
-    """Learn the worker's pace from what is done, and its health from all ends."""
+    """Update the worker's pace from completed runs, and its health from all ends."""
     if end is RunEnd.FAILED:
         update_failure_share(state, 1.0)
     if end is not RunEnd.DONE:
--- a/gypsumspoke/runs/supervisor_incarnation.py
+++ b/gypsumspoke/runs/supervisor_incarnation.py
@@ -1,4 +1,4 @@
-"""The worker's life, clock and lease, as a sidecar knows them."""
+"""The worker's incarnation, clock and fencing token, as known to its sidecar."""
 
 import logging
 from datetime import datetime, timedelta
@@ -12,10 +12,10 @@
 def handle_registration(
     state: SupervisorState, registration: Registration, now: datetime
 ) -> list[Effect]:
-    """Take what the worker says of itself, unless it is old or another service's."""
+    """Update the worker from a heartbeat, unless it is old or of another service."""
     if state.service and registration.service != state.service:
         fields = (("service", registration.service), ("worker", registration.id))
-        return [Log(logging.WARNING, "heartbeat of another service", fields=fields)]
+        return [Log(logging.WARNING, "heartbeat from another service", fields=fields)]
     known = state.worker
     if known is not None and _is_older(registration, known):
         return []
@@ -23,7 +23,7 @@
         state.worker_incarnation is not None
         and registration.incarnation < state.worker_incarnation
     ):
-        # A list of the worker has shown a later life already.
+        # A list has already shown a later incarnation.
         return []
     effects: list[Effect] = []
     if known is None or registration.incarnation != known.incarnation:
@@ -36,9 +36,9 @@
 
 
 def _is_older(registration: Registration, known: Registration) -> bool:
-    """Return whether a heartbeat was overtaken by another.
+    """Return whether a heartbeat is older than the latest one.
 
-    One that a cut held up may arrive after its sender has crashed and started again.
+    A heartbeat delayed by a partition may arrive after its sender has restarted.
     """
     if registration.incarnation != known.incarnation:
         return registration.incarnation < known.incarnation
@@ -56,23 +56,25 @@
     return [Log(logging.INFO, "worker registered", fields=fields)]
 
 
-def handle_new_incarnation(state: SupervisorState, born: int, now: datetime) -> None:
-    """Go over to a new life of the worker, which knows and runs nothing of before.
+def handle_new_incarnation(
+    state: SupervisorState, incarnation: int, now: datetime
+) -> None:
+    """Reset what depends on the worker's incarnation.
 
-    Its ends count from 1 again. Compared with the old count they would all seem taken
-    note of, and the worker would look full for good. Runs are not given up here: one
-    may have been started on the new life before it showed. The next list tells.
+    The new incarnation runs nothing and numbers its ends from 1 again. Runs are kept:
+    one may have been started on the new incarnation before it was seen here, and the
+    next list shows which are running.
     """
-    if state.worker_incarnation == born:
+    if state.worker_incarnation == incarnation:
         return
     is_first = state.worker_incarnation is None
-    state.worker_incarnation = born
+    state.worker_incarnation = incarnation
     state.incarnation_seen_at = now
     if is_first:
         return
     if state.token > 0:
-        # Orders of the life before, which the new one may still carry out, are refused
-        # once it has seen this.
+        # Delayed commands for the previous incarnation are refused once the new one has
+        # seen this token.
         state.token += 1
         state.is_fenced = False
     state.last_seen = 0
@@ -82,21 +84,21 @@
     state.failing = 0.0
     state.pace = 0.0
     for local in state.runs.values():
-        # Times of the old life's clock say nothing on the new one.
+        # Each incarnation has its own clock.
         local.start_clock = None
         local.stop_clock = None
         local.worker_restarted = local.phase is not Phase.WAITING
-    # A start that was meant for the old life named a time of the old clock, which may
-    # be far ahead on the new one; the worker shortens such a lease to its maximum.
+    # A command with a lease end on the old clock may have reached the new incarnation,
+    # which shortens such a lease to its maximum.
     ends_by = max(state.lease.ends_by, now + state.budget.max_lease_on_slow_clock)
     state.lease = Lease(None, now, ends_by)
 
 
 def is_from_current_incarnation(state: SupervisorState, sent: datetime | None) -> bool:
-    """Return whether an answer must be one of the worker's newest life.
+    """Return whether an answer must come from the worker's current incarnation.
 
-    An order that was sent before that life showed may have been answered by the one
-    before, whose clock says nothing on this one.
+    A command sent before that incarnation was seen may have been answered by the
+    previous one, whose clock differs.
     """
     if sent is None or state.incarnation_seen_at is None:
         return True
@@ -106,23 +108,23 @@
 def record_worker_clock(
     state: SupervisorState, clock: timedelta | None, now: datetime
 ) -> None:
-    """Learn the worker's clock; what the answer took makes it too low, if at all."""
+    """Record the worker's clock; the delay of the answer can only make it too low."""
     if clock is not None:
         state.lease = state.lease._replace(clock=clock, read_at=now)
 
 
 def worker_clock(state: SupervisorState, now: datetime) -> timedelta:
-    """Return the worker's clock, at most its true value: it may be slow."""
+    """Return a lower bound of the worker's clock, which may run slow."""
     since = now - state.lease.read_at
     return state.lease.clock + since / (1 + WORKER_CLOCK_ERROR)
 
 
 def raise_token(state: SupervisorState, now: datetime) -> None:
-    """Take a fencing token above those of earlier processes of this sidecar.
+    """Raise the fencing token above those of earlier processes of this sidecar.
 
-    The worker's own clock only rises within its life, and its memory of tokens ends
-    with that life too. So orders of an earlier process that are still under way are
-    refused, whatever the clocks of machines do.
+    Tokens come from the worker's clock, which only rises within an incarnation, as long
+    as the worker remembers tokens. So delayed commands of an earlier process are
+    refused whatever the machines' clocks do.
     """
     if state.lease.clock is not None:
         clock = worker_clock(state, now) // timedelta(milliseconds=1)
@@ -130,10 +132,10 @@
 
 
 def raise_refused_token(state: SupervisorState, refused: int, now: datetime) -> None:
-    """Take a higher token after the worker refused an order for its token.
+    """Raise the token after the worker refused a command for its token.
 
-    The clock is not enough on a young life: an earlier process of this sidecar may have
-    brought its token along from the life before.
+    The clock of a new incarnation may be too low: an earlier process of this sidecar
+    may have carried its token over from the previous incarnation.
     """
     if refused == state.token:
         state.token *= 2
--- a/gypsumspoke/runs/supervisor_lease.py
+++ b/gypsumspoke/runs/supervisor_lease.py
@@ -1,9 +1,9 @@
-"""How long the worker's lease may be named.
+"""How far the worker's lease may be extended.
 
-The lease is one for all that runs there. A run may be placed elsewhere
-``runs_dead_after`` its coordinator's last word, by an entry that counts on the time
-budget or for a caller that came back. So neither a hold nor a start names a later end
-than the budget allows for any run at work. A run whose stop the worker has accepted no
+All runs of a worker share one lease. A task may be placed elsewhere ``run_expiry``
+after its coordinator was last heard, by an entry that counts on the time budget or for
+a resubmission. So neither a renewal nor a start extends the lease further than the
+budget allows for any run at work. A run whose stop the worker has accepted no
 longer counts: it ends within the bound on a stop.
 """
 
@@ -19,9 +19,9 @@
 
 
 def last_heard(state: SupervisorState, local: LocalRun) -> datetime:
-    """Return when a run's coordinator was last known to count on it.
+    """Return when a run's coordinator was last heard while it wanted the run.
 
-    What the coordinator says after it withdrew the run is no word for it.
+    Messages after a stop was requested don't keep the run alive.
     """
     if local.phase is Phase.STOPPING:
         return local.heard_before_stop
@@ -29,7 +29,7 @@
 
 
 def allowed_lease(state: SupervisorState, now: datetime) -> timedelta:
-    """Return the longest lease that may be named now; zero or less for none."""
+    """Return the longest lease that may be granted now; zero or less for none."""
     oldest = _longest_unheard_run(state)
     if oldest is None:
         return state.budget.lease
@@ -44,25 +44,25 @@
 
 
 def lease_allows_run(state: SupervisorState, local: LocalRun, now: datetime) -> bool:
-    """Return whether a waiting run's coordinator was heard lately enough for it."""
-    word = last_heard(state, local)
-    if state.budget.allowed_lease(now - word) < state.budget.min_lease:
+    """Return whether a waiting run's coordinator was heard recently enough."""
+    heard = last_heard(state, local)
+    if state.budget.allowed_lease(now - heard) < state.budget.min_lease:
         return False
-    return _lease_ends_within_budget(state, word)
+    return _lease_ends_within_budget(state, heard)
 
 
-def _lease_ends_within_budget(state: SupervisorState, word: datetime) -> bool:
-    """Return whether the lease named so far is not too long for such a last word.
+def _lease_ends_within_budget(state: SupervisorState, heard: datetime) -> bool:
+    """Return whether the lease ends within the budget of an entry heard at that time.
 
-    It never shortens. Named for runs of entries that were heard later, or on the clock
-    of an earlier life of the worker, it may be.
+    A lease is never shortened. It may be too long if it was extended for entries heard
+    later, or on the clock of a previous incarnation of the worker.
     """
     longest = state.budget.entry_silence + state.budget.lease_on_slow_clock
-    return state.lease.ends_by <= word + longest
+    return state.lease.ends_by <= heard + longest
 
 
 def extend_lease(state: SupervisorState, now: datetime) -> timedelta | None:
-    """Return the end that an order sent now names, on the worker's clock."""
+    """Extend the lease as allowed; return its end on the worker's clock, or None."""
     left = allowed_lease(state, now)
     if left <= timedelta():
         return None
@@ -106,7 +106,7 @@
 
 
 def _longest_unheard_run(state: SupervisorState) -> LocalRun | None:
-    """Return the run at work whose coordinator's last word is the oldest."""
+    """Return the run at work whose coordinator has been silent the longest."""
     at_work = (
         local
         for local in state.runs.values()
--- a/gypsumspoke/runs/supervisor_placement.py
+++ b/gypsumspoke/runs/supervisor_placement.py
@@ -1,9 +1,8 @@
-"""What a sidecar does with a run that an entry places on it.
+"""Runs that entries place on this sidecar, query or withdraw.
 
-Load that it answers: several entries place work on one worker without seeing each
-other's, so more arrives at once than fits. What does not fit is sent back at once with
-a fresh report, and goes where there is room. Only a run whose task has an older run
-here waits, until that one is gone.
+Several entries place runs on one worker without seeing each other's, so more may arrive
+than fits. What does not fit is refused at once with a current report, so that it can be
+placed elsewhere. Only a run whose task has an older run here waits for its end.
 """
 
 from datetime import datetime, timedelta
@@ -32,8 +31,8 @@
     known = _report_known_run(state, message.run, sender)
     if known is not None:
         return known
-    # An order that was held up by a cut, or lay in the buffers of a process that was
-    # paused, may come after its entry has given the run up and placed it elsewhere.
+    # A placement delayed by a partition or a paused process may arrive after its entry
+    # has placed the task elsewhere.
     if state.origin + message.heard < now - state.budget.max_placement_age:
         return _refuse(state, message.run, sender, EndReason.ORDER_STALE)
     effects = _supersede_older_runs(state, message.run, sender, now)
@@ -59,16 +58,16 @@
 def handle_run_query(
     message: AskRun, sender: str, state: SupervisorState, now: datetime
 ) -> list[Effect]:
-    """Say what became of a run; one that was never seen never starts."""
+    """Report what became of a run; one that was never seen is refused for good."""
     return _report_or_refuse(state, message.run, sender)
 
 
 def handle_withdrawal(
     message: WithdrawRun, sender: str, state: SupervisorState, now: datetime
 ) -> list[Effect]:
-    """End a run; of one that is not here say what became of it, as if asked.
+    """Cancel a run, or report the end of one that is no longer here.
 
-    Its end may have been lost with a connection, and its entry waits for it.
+    The end may have been lost with a connection while the entry waits for it.
     """
     local = state.runs.get(message.run)
     if local is None or local.coordinator != sender:
@@ -80,10 +79,10 @@
 def record_heard(
     state: SupervisorState, sender: str, heard: timedelta, now: datetime
 ) -> None:
-    """Note when an entry was provably alive, by this sidecar's own clock."""
-    proven = min(state.origin + heard, now)
+    """Record when an entry was known to be alive, by this sidecar's own clock."""
+    alive_at = min(state.origin + heard, now)
     known = state.heard.get(sender)
-    state.heard[sender] = max(known, proven) if known else proven
+    state.heard[sender] = max(known, alive_at) if known else alive_at
 
 
 def _report_or_refuse(state: SupervisorState, run: RunId, sender: str) -> list[Effect]:
@@ -96,9 +95,9 @@
 def _report_known_run(
     state: SupervisorState, run: RunId, sender: str
 ) -> list[Effect] | None:
-    """Tell the end of a run that this entry placed; None for one that it did not.
+    """Report the end of a run that this entry placed; None for an unknown run.
 
-    Of a run that has not ended there is nothing to tell yet.
+    For a run that has not ended there is nothing to report.
     """
     if (sender, run) in state.ended:
         return [Send(sender, state.ended[sender, run])]
@@ -130,7 +129,7 @@
 def _refuse(
     state: SupervisorState, run: RunId, sender: str, reason: EndReason
 ) -> list[Effect]:
-    """Never start this run, and say so."""
+    """Refuse this run for good and report that to the entry."""
     highest = state.highest.get(run.task, 0)
     ended = RunEnded(run, RunEnd.NOT_RUN, reason, None, highest)
     record_end(state, sender, ended)
@@ -140,10 +139,10 @@
 def _refuse_without_room(
     state: SupervisorState, run: RunId, now: datetime
 ) -> list[Effect]:
-    """Refuse a run that found no room, with a fresh report.
+    """Refuse a run that found no room, after a current report.
 
-    Its entry did not know of what the others placed here a moment ago. Waiting here,
-    the run would wait for this worker while others have room.
+    Its entry did not know of the latest placements of other entries. Queued here, the
+    run would wait for this worker while others have room.
     """
     local = state.runs.get(run)
     if local is None or local.phase is not Phase.WAITING:
@@ -165,12 +164,12 @@
 def _supersede_older_runs(
     state: SupervisorState, run: RunId, sender: str, now: datetime
 ) -> list[Effect]:
-    """End other runs of the same task.
+    """Cancel other runs of the same task.
 
-    A caller that lost one entry sends its job through another. The first entry's run
-    may still be here; the new one waits until it is gone. Should the first entry live
-    all the same, it learns that it was superseded and places nothing again: otherwise
-    each of the two would end the other's run for ever.
+    A caller that lost one entry resubmits its job through another. The new run waits
+    until the first entry's run has ended. If the first entry is still alive, the reason
+    tells it not to place the task again; otherwise the two entries would go on
+    cancelling each other's runs.
     """
     effects: list[Effect] = []
     key = (run, sender)
--- a/gypsumspoke/runs/supervisor_renewals.py
+++ b/gypsumspoke/runs/supervisor_renewals.py
@@ -1,4 +1,4 @@
-"""Holds: they keep the lease alive, and bring what runs and what ended."""
+"""Lease renewals, which extend the lease and list running and ended runs."""
 
 from datetime import datetime, timedelta
 
@@ -24,11 +24,11 @@
     RenewCommand,
 )
 
-# A hold is answered or given up by the shell within its wait and this long at most.
+# Longest time until the shell has an answer to a command or gives it up; a renewal's
+# own wait comes on top.
 COMMAND_TIMEOUT = timedelta(milliseconds=120)
 # A run without progress for this long, or this share of its estimate, stands still. A
-# sound worker shows progress with each hold; one that is eight times slower still shows
-# a percent in a twelfth of the estimate.
+# sound worker shows progress with each renewal; a slow one shows a percent within it.
 MIN_STALL_DURATION = timedelta(milliseconds=220)
 STALL_SHARE = 0.15
 # So many lists must have shown the same progress.
@@ -36,12 +36,11 @@
 
 
 def next_renewal(state: SupervisorState, now: datetime) -> list[Effect]:
-    """Ask the worker again unless an answer is awaited.
+    """Send the next renewal unless one is pending.
 
-    While the worker leaves holds unanswered, they no longer extend the lease: its runs
+    While the worker leaves these unanswered, they no longer extend the lease: its runs
     must end by a known time, so that they can be placed elsewhere. Until the worker has
-    seen this process's token nothing can start, so those holds don't wait for an end:
-    after a loss of all processes each wait would keep the worker idle.
+    seen this process's token nothing can start, so those don't wait for an end.
     """
     interval = state.budget.renewal_interval
     if state.renewal_sent_at is not None:
@@ -52,7 +51,7 @@
     state.renewal_number += 1
     lease_end = extend_lease(state, now) if _may_extend_lease(state, now) else None
     wait = interval if state.is_fenced else timedelta()
-    hold = RenewCommand(
+    renewal = RenewCommand(
         state.worker_id,
         lease_end,
         state.last_seen,
@@ -60,7 +59,7 @@
         state.token,
         number=state.renewal_number,
     )
-    return [hold, *update_lease_withheld(state, now)]
+    return [renewal, *update_lease_withheld(state, now)]
 
 
 def _may_extend_lease(state: SupervisorState, now: datetime) -> bool:
@@ -77,7 +76,7 @@
 def handle_renewal_failure(
     state: SupervisorState, event: RenewalFailed, now: datetime
 ) -> list[Effect]:
-    """Take a hold without a list.
+    """Handle a renewal that failed.
 
     One that was left unanswered is followed at once, since ends wait to be seen. So is
     one that was fenced if there is a higher token now: the worker has known an earlier
@@ -97,10 +96,10 @@
 
 
 def _clear_pending_renewal(state: SupervisorState, number: int) -> None:
-    """Note that the hold under way is over, if it was that one.
+    """Clear the pending renewal if it has this number.
 
-    After a pause of this process the answer to an earlier one may follow. Taken for
-    that of the newest, two holds would be under way from then on.
+    After a pause of this process an answer to an earlier renewal may arrive late; it
+    must not cause a second renewal beside the pending one.
     """
     if number == state.renewal_number:
         state.renewal_sent_at = None
@@ -114,7 +113,7 @@
         _clear_pending_renewal(state, event.number)
     if event.incarnation is not None and event.incarnation != state.worker_incarnation:
         if not is_from_current_incarnation(state, event.sent):
-            # An answer of the old life, overtaken by a heartbeat of the new one.
+            # An answer of the previous incarnation that arrived late.
             return []
         handle_new_incarnation(state, event.incarnation, now)
     effects: list[Effect] = []
@@ -123,7 +122,7 @@
     record_worker_clock(state, event.clock, now)
     if state.token == 0:
         raise_token(state, now)
-    # A hold that was sent without this token shows nothing of it.
+    # Only a renewal that carried this token proves that the worker has seen it.
     state.is_fenced = state.is_fenced or event.token == state.token
     for ended in event.ended:
         effects += _handle_listed_end(state, ended, now)
@@ -169,8 +168,8 @@
             # The answer to its start is late or lost, but here it is.
             local.phase = Phase.RUNNING
         local.is_uncertain = False
-        # Known to be at work then; without it an older list that came late, on another
-        # connection, would make a run whose start got no answer seem to be gone.
+        # The run was running then, so an older list that arrives late on another
+        # connection can't end it.
         if local.start_clock is None or event.clock > local.start_clock:
             local.start_clock = event.clock
         local.lists_since_progress += 1
@@ -184,13 +183,13 @@
 
 
 def _stop_uncertain_runs(
-    state: SupervisorState, asked: datetime, now: datetime
+    state: SupervisorState, requested_at: datetime, now: datetime
 ) -> list[Effect]:
-    """Stop runs in doubt that a list, asked for after the doubt, does not show."""
+    """Stop uncertain runs that are missing from a list requested since."""
     effects: list[Effect] = []
     for local in list(state.runs.values()):
         if local.phase is Phase.STARTING and local.is_uncertain:
-            if local.uncertain_since <= asked:
+            if local.uncertain_since <= requested_at:
                 effects += stop_uncertain_run(state, local, now)
     return effects
 
@@ -217,16 +216,17 @@
 
 
 def _never_started(local: LocalRun) -> bool:
-    """Return whether a stopped run without a listed end was certainly not started.
+    """Return whether a stopped run without a listed end is known not to have started.
 
-    An earlier life of the worker may have started it; the next one knows nothing of it.
+    After a restart of the worker this is unknown: the previous incarnation may have
+    started the run, and the current one has no record of it.
     """
     return local.is_uncertain and not local.worker_restarted
 
 
 def _is_after_start(event: RenewalAnswered, local: LocalRun) -> bool:
     if local.start_clock is None:
-        # Started on a life that has ended, or on the next one before it showed.
+        # Started on a previous incarnation, or before the current one was seen.
         return local.started_at < event.sent
     return event.clock > local.start_clock
 
@@ -236,8 +236,8 @@
 ) -> bool:
     """Return whether a stopped run that no list shows is gone for certain.
 
-    While it is being stopped a run is at work and in neither list. Taken for gone at
-    once, its task was placed again beside it.
+    While it is being stopped a run is at work and in neither list. Taken for ended too
+    early, its task could be placed again beside it.
     """
     if local.stop_clock is None:
         return False
--- a/gypsumspoke/runs/supervisor_report.py
+++ b/gypsumspoke/runs/supervisor_report.py
@@ -1,4 +1,4 @@
-"""What a sidecar tells entries of its worker, and when it may start runs."""
+"""Reports of a sidecar to entries, and when its worker takes work."""
 
 from datetime import datetime, timedelta
 from statistics import geometric_mean
@@ -8,24 +8,24 @@
 from gypsumspoke.runs.supervisor_state import LastReport, SupervisorState
 from gypsumspoke.runs.values import NO_ROOM, WorkerState, subtract
 
-# A changed room is reported this often at most: each report costs an entry processor
-# time, and a busy worker's room changes with each start and end.
+# Shortest interval between reports of changed room to one entry, which limits the
+# entry's processor time: a busy worker's room changes with each start and end.
 CHANGE_REPORT_INTERVAL = timedelta(milliseconds=20)
-# With more entries than this each of them hears of changes less often, so that what
-# a sidecar sends does not grow with the entries, nor what an entry takes.
+# With more entries than this the interval grows in proportion, so that the rate of
+# reports stays bounded.
 ENTRIES_AT_FULL_RATE = 4
-# An entry that was told of a change so many ticks ago needs no regular report.
+# An entry that got a report within so many ticks needs no regular one.
 RECENT_REPORT_TICKS = 0.5
-# So many runs must show a pace, and so clear a change: estimates are far off, but the
-# mean of some seldom is by this much.
+# Running runs override the smoothed pace only if at least so many of them show a change
+# by at least this factor, since single estimates are inaccurate.
 MIN_PACE_RUNS = 3
 MIN_PACE_CHANGE = 2.0
-# A worker whose smoothed share of failed ends is above this fails nearly everything.
+# A worker with a larger smoothed share of failed ends counts as failing.
 MAX_FAILURE_SHARE = 0.5
 
 
 def can_start(state: SupervisorState, now: datetime) -> bool:
-    """Return whether the worker may be told to start something now."""
+    """Return whether runs may be started on the worker now."""
     return (
         state.worker is not None
         and state.worker.state is WorkerState.READY
@@ -40,19 +40,19 @@
 
 
 def is_answering(state: SupervisorState, now: datetime) -> bool:
-    """Return whether the worker answered a hold a moment ago."""
+    """Return whether the worker has answered a renewal recently."""
     if state.worker_answered_at is None:
         return False
     return now - state.worker_answered_at < state.budget.worker_silence
 
 
 def is_failing(state: SupervisorState) -> bool:
-    """Return whether the worker fails most of what it starts."""
+    """Return whether most runs on the worker fail."""
     return state.failing > MAX_FAILURE_SHARE
 
 
 def may_probe(state: SupervisorState, now: datetime) -> bool:
-    """Return whether a worker that fails may be tried again; True for a sound one."""
+    """Return whether a failing worker may be tried again; True for a healthy one."""
     if not is_failing(state):
         return True
     return state.next_probe is None or now >= state.next_probe
@@ -66,7 +66,7 @@
 
 
 def report_to(state: SupervisorState, peer: str, now: datetime) -> list[Effect]:
-    """Return the report for one entry."""
+    """Send a report to one entry."""
     worker = state.worker
     capacity = worker.capacity if worker else NO_ROOM
     message = WorkerReport(
@@ -87,11 +87,11 @@
 
 
 def current_pace(state: SupervisorState) -> float:
-    """Return run time over estimate, as the worker is now.
+    """Return the worker's current run time over estimate.
 
-    The smoothed pace of ends follows a worker that turns slow only after ten ends,
-    which are slow to come. What runs shows it within two lists. Estimates are far off,
-    so the runs must agree on a clear change before they are believed.
+    The smoothed pace of ended runs reacts late when a worker becomes slow; the progress
+    of running ones shows it earlier. Estimates are inaccurate, so several runs must
+    show a clear change before it counts.
     """
     paces = [
         local.projected_run_time / local.estimate
@@ -106,29 +106,27 @@
 
 
 def send_regular_reports(state: SupervisorState, now: datetime) -> list[Effect]:
-    """Return reports for all entries but those that were told a moment ago.
+    """Send reports to all entries but those that got one recently.
 
-    Left out of every second tick at most, a report is never older than a tick and a
-    half, well below the age at which an entry gives a sidecar up.
+    At most every second tick is left out for an entry, so its latest report is never
+    older than a tick and a half.
     """
     effects: list[Effect] = []
     recently = state.budget.tick * RECENT_REPORT_TICKS
     for peer in sorted(state.peers):
-        told = state.last_reports.get(peer)
-        if told is None or now - told.at >= recently:
+        last = state.last_reports.get(peer)
+        if last is None or now - last.at >= recently:
             effects += report_to(state, peer, now)
     return effects
 
 
 def send_change_reports(state: SupervisorState, now: datetime) -> list[Effect]:
-    """Return reports for the entries that know an old figure of the room.
+    """Send reports to the entries whose view of the free room is outdated.
 
-    That the worker takes work now, or no longer, is told at once: after a loss of all
-    processes jobs wait for the first worker, and what is placed on one that has just
-    begun to drain comes back.
-
-    With reports at the regular interval only, entries would place work on full workers
-    while others have room, and get it back a tick later.
+    Whether the worker takes work is reported at once: jobs may be waiting for it, and
+    runs placed on a worker that has begun to drain would be refused. Changes of room
+    are reported between ticks, or entries would place runs on full workers while others
+    have room.
     """
     effects: list[Effect] = []
     interval = CHANGE_REPORT_INTERVAL * max(
@@ -136,9 +134,9 @@
     )
     takes_work_now = takes_work(state, now)
     for peer in sorted(state.peers):
-        told = state.last_reports.get(peer)
-        if told is None or told.takes_work is not takes_work_now:
+        last = state.last_reports.get(peer)
+        if last is None or last.takes_work is not takes_work_now:
             effects += report_to(state, peer, now)
-        elif told.reserved != state.reserved and now - told.at >= interval:
+        elif last.reserved != state.reserved and now - last.at >= interval:
             effects += report_to(state, peer, now)
     return effects
--- a/gypsumspoke/runs/supervisor_state.py
+++ b/gypsumspoke/runs/supervisor_state.py
@@ -1,4 +1,4 @@
-"""What a sidecar knows of its worker and of the runs placed on it."""
+"""State of a sidecar: its worker and the runs placed on it."""
 
 from collections import OrderedDict
 from datetime import datetime, timedelta
@@ -18,12 +18,12 @@
     add,
 )
 
-# Ends kept to be told again after a lost connection: about a minute of a busy worker.
+# Ends kept so that they can be reported again after a lost connection.
 MAX_KEPT_ENDS = 4000
 
 
 class Phase(Enum):
-    """How far a run is. Only a WAITING one takes no room."""
+    """State of a local run. Every phase but WAITING reserves room."""
 
     WAITING = "waiting"
     STARTING = "starting"
@@ -32,12 +32,12 @@
 
 
 class Lease(NamedTuple):
-    """What is known of the worker's lease and clock.
+    """The worker's lease and clock, as last known.
 
     Attributes:
-      clock: the worker's clock at ``read_at`` or a little before; None before it spoke.
-      read_at: when its clock was last read.
-      ends_by: the lease has ended by then unless it is extended again.
+      clock: the worker's clock at ``read_at`` or slightly before; None while unknown.
+      read_at: when the clock was last read.
+      ends_by: latest time at which the lease ends unless it is extended.
     """
 
     clock: timedelta | None
@@ -46,7 +46,7 @@
 
 
 class LastReport(NamedTuple):
-    """The latest report to an entry: when, what was taken, and whether work is."""
+    """The parts of the latest report to an entry that trigger the next one."""
 
     at: datetime
     reserved: Room
@@ -60,23 +60,23 @@
       run: which run.
       coordinator: incarnation of the entry that placed it.
       room, priority, estimate, spec: as in PlaceRun.
-      start_by: not started later than this.
+      start_by: deadline for the start.
       placement_number: rises with each placement; breaks ties within a priority.
       phase: see Phase.
-      started: when the worker accepted the start.
-      start_clock: the worker's clock when it last said that the run is at work.
+      started_at: when the start was sent; once accepted, when it was accepted.
+      start_clock: the worker's clock when it last reported the run as running.
       stop_clock: the worker's clock when it accepted the stop.
-      percent: progress as last seen.
-      progressed: when the progress last changed.
-      lists_since: how many lists came since then.
-      whole: run time of the whole run at the speed of its latest progress.
+      percent: latest known progress.
+      progressed_at: when the progress last changed.
+      lists_since_progress: number of lists received since then.
+      projected_run_time: total run time at the speed of the latest progress.
       stop_reason: why it is being stopped.
-      stop_since: when the first stop was sent.
-      stop_word: when its coordinator was last heard before that.
-      stop_sent: when a stop was last sent.
-      in_doubt: the start got no answer.
-      outlived: the worker was born again after the start was sent.
-      doubted: since when.
+      stop_requested_at: when the first stop was sent.
+      heard_before_stop: when its coordinator was last heard before that.
+      stop_sent_at: when the latest stop was sent.
+      is_uncertain: the start was not answered, so it may or may not have run.
+      worker_restarted: the worker has restarted since the start was sent.
+      uncertain_since: when the start was found to be unanswered.
     """
 
     def __init__(
@@ -116,45 +116,46 @@
 
 
 class SupervisorState:
-    """State of the guard; changed only by ``guard.reduce``.
+    """State of the supervisor; changed only by ``supervisor.reduce``.
 
     Attributes:
-      origin: zero of the stamps in reports.
+      origin: zero of the timestamps in reports.
       budget: the time budget of all runs.
-      service: the service that the settings name; empty for any.
-      worker: what the worker last said of itself; None before.
-      born: the life of the worker that ``last_seen`` belongs to.
-      born_learnt: when that life first showed.
+      service: the service named in the settings; empty for any.
+      worker: the worker's latest registration; None before the first.
+      worker_incarnation: the worker's incarnation; ``last_seen`` counts within it.
+      incarnation_seen_at: when that incarnation was first seen.
       token: fencing token; 0 before the worker's clock is known.
       lease: see Lease.
-      lease_withheld: since when an unanswered stop holds the lease back.
-      is_lease_short: whether the lease was too short for a start at the last hold.
-      last_seen: highest number of the ends taken note of.
-      hold_sent: when the hold under way was sent; None when there is none.
-      hold_number: number of the newest hold.
+      lease_withheld_since: when an unanswered stop began to hold the lease back.
+      is_lease_short: whether the lease was too short for a start at the last renewal.
+      last_seen: highest number of the listed ends that were processed.
+      renewal_sent_at: when the pending renewal was sent; None if none is pending.
+      renewal_number: number of the latest renewal.
       is_fenced: whether the worker has seen this sidecar's token, and so refuses
-        orders of earlier processes of this sidecar.
-      heard_worker: when a hold was last answered.
-      orphans: runs at the worker that nobody here placed; they are being stopped. With
-        the worker's clock of the first list that lacked one; None while it is listed.
-      list_clock: the worker's clock of the youngest list of this life.
-      quiet_from: the worker's clock from which on a list hides no run of an earlier
-        process that is being stopped; None before the first list.
+        commands of earlier processes of this sidecar.
+      worker_answered_at: when a renewal was last answered.
+      orphans: runs at the worker that this process did not place and has stopped; the
+        value is the worker's clock of the first list without the run, or None while
+        the run is listed.
+      list_clock: the worker's clock of the most recent list of this incarnation.
+      lists_complete_from: the worker's clock from which on a list can't miss a run of
+        an earlier process that is being stopped; None before the first list.
       runs: placed runs that have not ended, in order of placement.
-      held: room of all runs that are not waiting.
-      ended: the latest ends, by the entry that placed the run; two entries that do
-        not know of each other give their runs the same numbers.
-      heard: for each entry, when it was provably alive.
-      taken: for each entry, how many of its orders arrived on this connection.
-      peers: entries that are connected.
-      told: what each entry was last told.
+      reserved: room of all runs that are not waiting.
+      ended: the latest ends by entry and run; entries number their runs independently.
+      heard: for each entry, the latest time at which it was known to be alive.
+      taken: for each entry, the placements that arrived on its current connection.
+      peers: connected entries.
+      last_reports: the latest report to each connected entry.
       highest: highest run number started for a task, for the latest tasks.
       pace: run time over estimate, smoothed; 0 before the first end.
       failing: smoothed share of failed ends.
-      next_probe: while the worker fails, when it may be tried again.
-      draining: when the graceful stop began.
-      left: the stop is complete.
-      directory: whom this sidecar connects to.
+      next_probe: when a failing worker may be tried again.
+      placement_count: number of runs accepted so far.
+      draining_since: when the graceful stop began.
+      has_stopped: whether the graceful stop is complete.
+      directory: the entries that this sidecar connects to.
     """
 
     def __init__(
@@ -200,31 +201,31 @@
 
     @property
     def knows_all_runs(self) -> bool:
-        """Whether nothing that an earlier process started is at work any more."""
+        """Whether no run of an earlier process can still be running."""
         if self.orphans or self.lists_complete_from is None:
             return False
         return self.list_clock >= self.lists_complete_from
 
     @property
     def worker_id(self) -> str:
-        """The worker's id; empty before it has registered."""
+        """The worker's id; empty before its registration."""
         return self.worker.id if self.worker else ""
 
 
 def reserve_room(state: SupervisorState, local: LocalRun) -> None:
-    """Count a run's room as taken, from just before its start is sent."""
+    """Reserve a run's room, just before its start is sent."""
     state.reserved = add(state.reserved, local.room)
 
 
 def record_end(state: SupervisorState, coordinator: str, ended: RunEnded) -> None:
-    """Keep an end to tell it again, within the bound."""
+    """Keep an end for later reports, up to ``MAX_KEPT_ENDS``."""
     state.ended[coordinator, ended.run] = ended
     if len(state.ended) > MAX_KEPT_ENDS:
         state.ended.popitem(last=False)
 
 
 def record_highest(state: SupervisorState, run: RunId) -> None:
-    """Remember the highest run number of a task, within the bound."""
+    """Record the highest run number of a task, for up to ``MAX_KEPT_ENDS`` tasks."""
     known = state.highest.get(run.task, 0)
     state.highest[run.task] = max(known, run.number)
     if len(state.highest) > MAX_KEPT_ENDS:
--- a/gypsumspoke/runs/supervisor_stop.py
+++ b/gypsumspoke/runs/supervisor_stop.py
@@ -1,4 +1,4 @@
-"""The graceful stop of a sidecar: nothing new starts, what runs may end."""
+"""The graceful stop of a sidecar: nothing new starts, running runs may finish."""
 
 import logging
 from datetime import datetime, timedelta
@@ -10,8 +10,8 @@
 from gypsumspoke.runs.supervisor_state import SupervisorState
 from gypsumspoke.runs.values import EndReason
 
-# A stopping sidecar ends what still runs this long after the signal; the platform kills
-# the process after a grace of some seconds, and ends must be told before.
+# A stopping sidecar stops the remaining runs this long after the signal, so that their
+# ends are reported before the platform kills the process.
 DRAIN_TIMEOUT = timedelta(seconds=4.5)
 
 
@@ -28,7 +28,7 @@
 
 
 def continue_stop(state: SupervisorState, now: datetime) -> list[Effect]:
-    """End the process when nothing runs any more; stop what still does in the end."""
+    """Exit once nothing runs; after ``DRAIN_TIMEOUT`` stop the remaining runs."""
     if state.draining_since is None or state.has_stopped:
         return []
     if not state.runs and not state.orphans:
