--- a/gypsumspoke/runs/budget.py
+++ b/gypsumspoke/runs/budget.py
@@ -1,25 +1,23 @@
 """The time budget that keeps two runs of one task apart.
 
-A caller whose connection broke sends its job again after a pause through any entry, and
-the job may then run from the start, but not beside its old runs. The entry that took it
-may be dead, cut off or frozen, and so may a sidecar. So a run is allowed only for a
-bounded time after its coordinator was last known to live:
-
-* a sidecar stops the runs of an entry that it has not heard for ``entry_silence``; it
-  looks at each tick;
-* a worker kills all runs when its lease ends. Its sidecar extends it, by ``lease`` at
-  a time, but never beyond ``entry_silence`` and ``lease`` after the last word of the
-  entry of any run there, until the worker has accepted that run's stop. A sidecar that
-  is dead or frozen does not extend it.
-
-At worst the entry is lost at 0, none of the stops of its runs gets an answer or the
-sidecar freezes, and the worker's clock is slow: the runs end by ``runs_dead_after``,
-a tick before the caller's next copy. An entry that lives waits as long before it
-places a run of a silent sidecar elsewhere.
-
-The pause is the platform's bound, and all other times follow from it as multiples of
-the tick: with callers that come back sooner, everything is sent more often and believed
-for a shorter time.
+A caller whose connection broke resubmits its job after a pause through any entry. The
+job may then run from the start, but not beside its old runs, although its first entry
+or a sidecar may be dead, partitioned or paused. So a run may go on only for a bounded
+time after its coordinator was last known to be alive:
+
+* at each tick a sidecar stops the runs of entries not heard for ``entry_silence``;
+* a worker kills all runs when its lease ends. Its sidecar extends it by ``lease`` at
+  a time, but never beyond ``entry_silence`` plus ``lease`` after the entry of any run
+  there was last heard, until the worker has accepted that run's stop. A sidecar that
+  is dead or paused does not extend it.
+
+In the worst case the entry is lost at 0, no stop is answered or the sidecar is paused,
+and the worker's clock is slow: the runs end by ``run_expiry``, a tick before the
+resubmission. A live entry waits as long before it places a run of a silent sidecar
+elsewhere.
+
+The pause is set by the platform, and all other durations are multiples of a tick that
+is derived from it.
 """
 
 from datetime import timedelta
@@ -27,7 +25,7 @@
 
 from returns.result import Failure, Result, Success
 
-# From the platform's pages: a worker's clock may be this much slow.
+# Relative error by which a worker's clock may be slow, given by the platform.
 WORKER_CLOCK_ERROR = 0.02
 
 # In ticks. Reports and pulses come about once a tick, so four of them may be lost or
@@ -35,16 +33,16 @@
 ENTRY_SILENCE_TICKS = 5.0
 LEASE_TICKS = 6.0
 RENEWAL_TICKS = 0.6
-# Two ticks, the way there and back, and some load; an older order was held up, or its
-# sender was paused.
+# Two ticks, the round trip and some load; an older placement was delayed, or its sender
+# was paused.
 MAX_PLACEMENT_AGE_TICKS = 3.5
-# A worker that left holds unanswered for so long gets nothing new.
+# A worker that leaves renewals unanswered for so long gets no new runs.
 WORKER_SILENCE_TICKS = 4.0
-# A run that starts on a shorter lease would be lost if a stop stays unanswered.
+# A run started on a shorter lease would be lost if a stop stays unanswered.
 MIN_LEASE_SHARE = 0.5
 PULSE_TICKS = 0.8
 
-# More often than this costs processor time and brings nothing.
+# Upper bound, which saves processor time where the platform allows longer ticks.
 MAX_TICK = timedelta(milliseconds=100)
 # The platform may keep a process from running for the rest of a tenth of a second. With
 # a shorter tick each such pause would count as the loss of an entry.
@@ -52,12 +50,12 @@
 
 
 class Bounds(NamedTuple):
-    """What the platform promises, and the budget is made of.
+    """The platform's guarantees, from which the budget is derived.
 
     Attributes:
-      resend: the shortest pause before a caller's second copy.
-      stop: a stop takes at most this long.
-      longest_lease: a worker shortens longer leases to this, by its own clock.
+      resend: the shortest pause before a caller's resubmission.
+      stop: the longest time that a stop takes.
+      max_lease: the longest lease that a worker grants, by its own clock.
     """
 
     resend: timedelta
@@ -73,11 +71,11 @@
 
 
 class Budget(NamedTuple):
-    """Times that hold together; made by ``budget_for``.
+    """A consistent set of timeouts and intervals; made by ``budget_for``.
 
     Attributes:
       bounds: the platform's bounds.
-      tick: how often each process looks at the time, and reports.
+      tick: interval at which each process checks timeouts and sends reports.
     """
 
     bounds: Bounds
@@ -85,87 +83,86 @@
 
     @property
     def entry_silence(self) -> timedelta:
-        """After this a sidecar stops the runs of an entry that it has not heard."""
+        """Silence after which a sidecar stops an entry's runs."""
         return self.tick * ENTRY_SILENCE_TICKS
 
     @property
     def max_placement_age(self) -> timedelta:
-        """An order may be this old, by the sidecar's own clock."""
+        """Age at which a sidecar refuses a placement, by its own clock."""
         return self.tick * MAX_PLACEMENT_AGE_TICKS
 
     @property
     def lease(self) -> timedelta:
-        """A sidecar extends its worker's lease by this at a time."""
+        """Duration by which a sidecar extends its worker's lease at a time."""
         return min(self.tick * LEASE_TICKS, self.bounds.max_lease)
 
     @property
     def lease_on_slow_clock(self) -> timedelta:
-        """How long a lease can last on a worker whose clock is slow."""
+        """``lease`` as it lasts on a worker whose clock is slow."""
         return self.on_slow_clock(self.lease)
 
     @property
     def max_lease_on_slow_clock(self) -> timedelta:
-        """How long any lease can last, whatever end it names."""
+        """Longest duration of any lease on a worker whose clock is slow."""
         return self.on_slow_clock(self.bounds.max_lease)
 
     @property
     def renewal_interval(self) -> timedelta:
-        """A lease is extended this often at the latest."""
+        """Longest interval between renewals of a lease."""
         return self.tick * RENEWAL_TICKS
 
     @property
     def worker_silence(self) -> timedelta:
-        """A worker that left holds unanswered for so long is hung or cut off."""
+        """Silence after which a worker counts as hung or partitioned."""
         return self.tick * WORKER_SILENCE_TICKS
 
     @property
     def min_lease(self) -> timedelta:
-        """Nothing starts on a lease that may only be shorter than this."""
+        """Shortest lease on which a run may start."""
         return self.lease * MIN_LEASE_SHARE
 
     @property
     def stop_settle_time(self) -> timedelta:
-        """An accepted stop has taken effect, and shows, by then.
+        """Time after which an accepted stop has taken effect and is listed.
 
-        The bound on a stop, and a fifth of it for the worker's clock and its whole
-        milliseconds.
+        The bound on a stop, with a margin for the worker's clock and its rounding.
         """
         return self.bounds.stop * 1.2
 
     @property
     def pulse_interval(self) -> timedelta:
-        """How often an entry answers reports, which may come more often."""
+        """Shortest interval between an entry's pulses to one sidecar."""
         return self.tick * PULSE_TICKS
 
     @property
     def run_expiry(self) -> timedelta:
-        """All runs of an entry are gone this long after its last proof of life."""
+        """Time from an entry's last sign of life until all of its runs have ended."""
         return self.entry_silence + self.lease_on_slow_clock + self.bounds.stop
 
     def allowed_lease(self, silence: timedelta) -> timedelta:
-        """Return the longest lease for runs whose entry was last heard so long ago.
+        """Return the longest lease for runs whose entry has been silent for so long.
 
-        Whenever it is named, it has ended ``runs_dead_after`` the last proof of life.
+        Whenever it is granted, it ends within ``run_expiry`` after the entry was heard.
         """
         return min(self.lease, self.entry_silence + self.lease - silence)
 
     @staticmethod
     def on_slow_clock(duration: timedelta) -> timedelta:
-        """Return how long a duration can last on a worker's clock."""
+        """Return how long a duration lasts if the worker's clock is slow."""
         return duration * (1 + WORKER_CLOCK_ERROR)
 
 
 def budget_for(bounds: Bounds) -> Result[Budget, str]:
-    """Work out the budget for a platform's bounds.
+    """Derive the budget from a platform's bounds.
 
     Args:
-      bounds: what the platform promises.
+      bounds: the platform's guarantees.
 
     Returns:
-      The budget, or a sentence that says why there is none.
+      The budget, or the reason why the bounds allow none.
     """
     lease_ticks = LEASE_TICKS * (1 + WORKER_CLOCK_ERROR)
-    # One more for what an entry takes to notice that a caller has left.
+    # One more tick for an entry to notice that a caller has disconnected.
     ticks = ENTRY_SILENCE_TICKS + lease_ticks + 1
     tick = min((bounds.resend - bounds.stop) / ticks, MAX_TICK)
     if tick < MIN_TICK:
--- a/gypsumspoke/runs/supervisor.py
+++ b/gypsumspoke/runs/supervisor.py
@@ -1,6 +1,6 @@
-"""The sidecar's reducer: its worker's only client, and guard of the worker's room.
+"""The sidecar's reducer: its worker's only client, and supervisor of its runs.
 
-Entries place runs here; the guard starts them when there is room, keeps the worker's
+Entries place runs here; it starts them when there is room, keeps the worker's
 lease alive, and tells the entry how each run ended. It counts a run's room as taken
 from before its start is sent until the worker lists its end, so that an unanswered
 start and an unfinished stop still count.
@@ -48,11 +48,11 @@
 
 
 def reduce(state: SupervisorState, event: Any, now: datetime) -> list[Effect]:
-    """Take one event.
+    """Handle one event.
 
     Args:
-      state: the guard's state, changed in place.
-      event: an event of ``runs/orders.py`` or ``core/events.py``.
+      state: the supervisor's state, changed in place.
+      event: an event of ``runs/worker_commands.py`` or ``core/events.py``.
       now: the current time of a steady clock.
 
     Returns:
--- a/gypsumspoke/runs/supervisor_commands.py
+++ b/gypsumspoke/runs/supervisor_commands.py
@@ -1,4 +1,4 @@
-"""Starts and stops: the orders to the worker, and what its answers mean."""
+"""Start and stop commands to the worker, and its answers."""
 
 import logging
 from datetime import datetime, timedelta
@@ -105,10 +105,7 @@
 
 
 def _handle_stop_answer(
-    state: SupervisorState,
-    local: LocalRun,
-    event: CommandAnswered,
-    now: datetime,
+    state: SupervisorState, local: LocalRun, event: CommandAnswered, now: datetime
 ) -> list[Effect]:
     """Note when a stop was accepted; repeat an unanswered one."""
     if event.result is CommandResult.ACCEPTED:
--- a/gypsumspoke/runs/worker_commands.py
+++ b/gypsumspoke/runs/worker_commands.py
@@ -1,7 +1,7 @@
-"""Orders from a sidecar to its worker, and what comes back.
+"""Commands from a sidecar to its worker, and the events that answer them.
 
-Effects and events of the guard (``runs/guard.py``). An order without an answer may have
-been carried out, may be carried out seconds later, or never.
+Effects and events of the supervisor (``runs/supervisor.py``). A command without an
+answer may have been carried out, may be carried out seconds later, or never.
 """
 
 from datetime import datetime, timedelta
@@ -12,13 +12,14 @@
 
 
 class StartCommand(NamedTuple):
-    """Effect: tell the worker to start a run; answered by OrderAnswered.
+    """Effect: tell the worker to start a run; answered by CommandAnswered.
 
     Attributes:
       run: which run.
       spec: text for the worker.
-      worker: id of the worker that is meant.
-      lease_end: on the worker's clock; the worker refuses to start it later.
+      worker: id of the intended worker; another one refuses.
+      lease_end: end of the lease on the worker's clock; the worker refuses to start the
+        run later.
       token: fencing token of this sidecar.
     """
 
@@ -30,7 +31,7 @@
 
 
 class StopCommand(NamedTuple):
-    """Effect: tell the worker to stop a run, and never to start it."""
+    """Effect: stop a run, or have the worker refuse it if it has not started."""
 
     run: RunId
     worker: str
@@ -38,17 +39,16 @@
 
 
 class RenewCommand(NamedTuple):
-    """Effect: extend the lease and read what runs and what ended.
+    """Effect: extend the lease and request the lists of running and ended runs.
 
     Attributes:
-      worker: id of the worker that is meant; empty to ask whichever is there.
-      lease_end: on the worker's clock; None to leave the lease as it is.
-      last_seen: ends up to this number are taken note of.
-      wait: how long the worker may wait for a new end.
+      worker: id of the intended worker; empty to address any.
+      lease_end: end of the lease on the worker's clock; None to leave it unchanged.
+      last_seen: ends up to this number have been processed.
+      wait: how long the worker may wait for a new end before it answers.
       token: fencing token of this sidecar; 0 before it has one.
-      is_extra: asked beside the hold that is always under way, to learn at once what
-        became of one run.
-      number: rises with each hold that is not extra.
+      is_extra: sent beside the regular renewal, to learn at once what became of a run.
+      number: rises with each regular renewal.
     """
 
     worker: str
@@ -61,14 +61,14 @@
 
 
 class CommandKind(Enum):
-    """Which order was answered."""
+    """Which command was answered."""
 
     START = "start"
     STOP = "stop"
 
 
 class CommandResult(Enum):
-    """What the worker said. All but ACCEPTED and UNANSWERED: nothing was done."""
+    """Outcome of a command; it had no effect unless ACCEPTED or UNANSWERED."""
 
     ACCEPTED = "accepted"
     FENCED = "fenced"
@@ -83,13 +83,13 @@
 
 
 class CommandAnswered(NamedTuple):
-    """Event: the end of a StartOrder or StopOrder.
+    """Event: a StartCommand or StopCommand was answered or failed.
 
     Attributes:
-      kind, run: which order.
-      result: what the worker said.
-      clock: the worker's clock in its answer, if it gave one.
-      sent: when the order was sent, by the sidecar's clock.
+      kind, run: which command.
+      result: its outcome.
+      clock: the worker's clock in its answer, if given.
+      sent: when the command was sent, by the sidecar's clock.
     """
 
     kind: CommandKind
@@ -100,14 +100,14 @@
 
 
 class RunningRun(NamedTuple):
-    """A run that the worker lists as running, and how far it is in percent."""
+    """A run that the worker lists as running, with its progress in percent."""
 
     run: RunId
     percent: int
 
 
 class EndedRun(NamedTuple):
-    """An end that the worker lists; ``number`` counts within the worker's life."""
+    """A listed end; ``number`` counts within the worker's incarnation."""
 
     number: int
     run: RunId
@@ -116,15 +116,15 @@
 
 
 class RenewalAnswered(NamedTuple):
-    """Event: the worker's answer to a HoldOrder.
+    """Event: the worker's answer to a RenewCommand.
 
     Attributes:
-      sent: when the order was sent, by the sidecar's clock.
+      sent: when the command was sent, by the sidecar's clock.
       clock: the worker's clock in its answer.
       incarnation: number of the worker's incarnation; None if the answer lacks it.
-      running: all runs at work.
+      running: all running runs.
       ended: ends beyond ``last_seen``, oldest first.
-      is_extra, token, number: as in the order.
+      is_extra, token, number: as in the command.
     """
 
     sent: datetime
@@ -138,12 +138,12 @@
 
 
 class RenewalFailed(NamedTuple):
-    """Event: a HoldOrder got no usable answer.
+    """Event: a RenewCommand got no usable answer.
 
     Attributes:
       result: why.
-      clock: the worker's clock, where a refusal gave it.
-      is_extra, token, number: as in the order.
+      clock: the worker's clock, if a refusal gave it.
+      is_extra, token, number: as in the command.
     """
 
     result: CommandResult
@@ -154,12 +154,12 @@
 
 
 class HeartbeatArrived(NamedTuple):
-    """Event: the worker beside this sidecar said what it is."""
+    """Event: a heartbeat of this sidecar's worker arrived."""
 
     registration: Registration
 
 
 class WorkerLeft(NamedTuple):
-    """Event: the worker said that it ends now."""
+    """Event: the worker deregistered; it exits now."""
 
     id: str
