--- a/tests/runs/lone_sidecar.py
+++ b/tests/runs/lone_sidecar.py
@@ -1,4 +1,4 @@
-"""The reducer of one sidecar, told by hand what its worker and an entry say."""
+"""The reducer of one sidecar, driven by hand-made events."""
 
 from datetime import timedelta
 from typing import Any
@@ -16,13 +16,13 @@
 )
 from tests.runs.world import CAPACITY, SERVICE, START
 
-LIFE = 7
+INCARNATION = 7
 
 
-def registration(life: int = LIFE) -> Registration:
-    """Return what the worker says of itself in the first heartbeat of a life."""
+def registration(incarnation: int = INCARNATION) -> Registration:
+    """Return the first registration of a worker's incarnation."""
     return Registration(
-        "w-1", life, 1, SERVICE, WorkerState.READY, CAPACITY, (), timedelta()
+        "w-1", incarnation, 1, SERVICE, WorkerState.READY, CAPACITY, (), timedelta()
     )
 
 
@@ -30,41 +30,44 @@
     """A sidecar that has just started.
 
     Args:
-      state: its state; made for one whose worker has registered unless given.
+      state: its state; by default one whose worker has registered.
     """
 
     def __init__(self, state: SupervisorState | None = None) -> None:
         self.state = state or SupervisorState(SERVICE, Directory("", ()), START)
         if state is None:
-            self.take(timedelta(), HeartbeatArrived(registration()))
+            self.handle(timedelta(), HeartbeatArrived(registration()))
 
-    def take(self, at: timedelta, event: Any) -> list[Effect]:
-        """Take an event at a time since the start."""
+    def handle(self, at: timedelta, event: Any) -> list[Effect]:
+        """Handle an event at a time since the start."""
         return supervisor.reduce(self.state, event, START + at)
 
-    def take_list(
+    def handle_list(
         self,
         at: timedelta,
         running: tuple[RunId, ...] = (),
         ended: tuple[EndedRun, ...] = (),
-        asked: timedelta | None = None,
-        made: timedelta | None = None,
+        sent_at: timedelta | None = None,
+        listed_at: timedelta | None = None,
         is_extra: bool = False,
         token: int | None = None,
-        life: int = LIFE,
+        incarnation: int = INCARNATION,
         number: int | None = None,
     ) -> list[Effect]:
-        """Take the worker's list; asked for and made when it arrives unless told.
+        """Handle the worker's list.
 
-        The order was the newest, and named the newest token, unless told.
+        By default it was requested and made at the time of its arrival, by the latest
+        renewal with the current token.
         """
-        sent = START + (at if asked is None else asked)
-        clock = at if made is None else made
+        sent = START + (at if sent_at is None else sent_at)
+        clock = at if listed_at is None else listed_at
         listed = tuple(RunningRun(run, 50) for run in running)
         token = self.state.token if token is None else token
         number = self.state.renewal_number if number is None else number
         ends = tuple(ended)
-        return self.take(
+        return self.handle(
             at,
-            RenewalAnswered(sent, clock, life, listed, ends, is_extra, token, number),
+            RenewalAnswered(
+                sent, clock, incarnation, listed, ends, is_extra, token, number
+            ),
         )
--- a/tests/runs/test_budget.py
+++ b/tests/runs/test_budget.py
@@ -1,4 +1,4 @@
-"""The time budget: what the platform's bounds leave of it."""
+"""The time budget derived from the platform's bounds."""
 
 from datetime import timedelta
 
@@ -23,10 +23,9 @@
 
 
 @given(resend=durations, stop=durations, max_lease=durations)
-def test_old_runs_are_gone_before_a_caller_comes_back(resend, stop, max_lease):
-    """Whatever the bounds: an entry is lost at 0, its sidecar freezes just before the
-    tick that finds it silent, and the worker's clock is slow. Either the runs end
-    before the caller's next copy, or no process starts.
+def test_old_runs_have_ended_before_a_caller_resubmits(resend, stop, max_lease):
+    """An entry is lost, its sidecar pauses just before the tick that would notice, and
+    the worker's clock is slow: the runs end before the caller resubmits.
     """
     made = budget_for(Bounds(resend, stop, max_lease))
     if not is_successful(made):
@@ -48,15 +47,13 @@
 
 @pytest.mark.parametrize("budget", [EARLY, EARLIEST], ids=["700 ms", "400 ms"])
 @pytest.mark.parametrize("seed", range(12))
-def test_walks_break_no_promise_where_callers_come_back_early(seed, budget):
-    """Entries, sidecars and workers are lost, cut off and paused, and callers send
-    their jobs again sooner than elsewhere. No task runs twice at once.
-    """
+def test_walks_violate_nothing_where_callers_resubmit_early(seed, budget):
+    """No task runs twice at once under faults, also where callers resubmit early."""
     assert Walk(seed, budget).play() == []
     assert CutOffWalk(seed, budget).play() == []
 
 
-def test_a_deployment_whose_callers_come_back_early_is_served():
+def test_a_deployment_whose_callers_resubmit_early_is_served():
     world = World(budget=EARLY)
     world.run(ms(2000))
     world.submit("entry0", "r1", job("j1", count=6), ms(2000))
--- a/tests/runs/test_faults.py
+++ b/tests/runs/test_faults.py
@@ -26,7 +26,7 @@
 def long_tasks(world: World) -> None:
     """Make each task run for two seconds."""
     for worker in world.workers.values():
-        worker.takes = lambda task: timedelta(seconds=2)
+        worker.run_time = lambda task: timedelta(seconds=2)
 
 
 def test_the_budget_ends_before_a_caller_sends_again():
--- a/tests/runs/test_late_ends.py
+++ b/tests/runs/test_late_ends.py
@@ -1,4 +1,4 @@
-"""Ends of runs that come after their entry had given the runs up."""
+"""Ends that arrive after the entry has given up the run."""
 
 from datetime import timedelta
 
@@ -15,15 +15,14 @@
 RESEND = DEFAULT_BOUNDS.resend
 
 
-def with_a_copy_beside_a_frozen_sidecar() -> World:
-    """Return a world in which a job's run was lost with a frozen sidecar.
+def with_a_resubmission_beside_a_frozen_sidecar() -> World:
+    """Return a world in which a run was lost with a frozen sidecar and resubmitted.
 
-    Its caller has left, and sent it again to the same entry, which has given the first
-    run up by the time budget. Tasks take four seconds.
+    The same entry coordinates both, and has given the first run up by the time budget.
     """
     world = settled(sidecars=3)
     for worker in world.workers.values():
-        worker.takes = lambda task: timedelta(seconds=4)
+        worker.run_time = lambda task: timedelta(seconds=4)
     world.submit("entry0", "r1", job("j1", count=1), ms(20_000))
     world.run(ms(100))
     assert world.workers["side0"].running
@@ -36,12 +35,11 @@
     return world
 
 
-def test_the_end_of_an_older_run_is_not_taken_for_that_of_the_copys():
-    """The sidecar wakes and tells the end of the first run. Runs are numbered anew for
-    each copy of a job, so the copy's run, at work elsewhere, has the same number. Taken
-    for its end, the task was started a second time beside it.
+def test_the_end_of_an_older_run_is_not_attributed_to_the_resubmission():
+    """Each submission numbers its runs from 1, so the late end of the first run has the
+    number of the resubmission's run.
     """
-    world = with_a_copy_beside_a_frozen_sidecar()
+    world = with_a_resubmission_beside_a_frozen_sidecar()
     world.run(ms(7000))
     assert not world.violations
     assert world.end_of("r2") is JobEnd.COMPLETED
@@ -49,10 +47,8 @@
 
 
 def test_the_end_of_an_older_run_does_not_end_the_wait_for_a_withdrawn_one():
-    """As above, and the copy's caller has left too. The third copy waits for the end of
-    the second one's run.
-    """
-    world = with_a_copy_beside_a_frozen_sidecar()
+    """As above; a third submission waits for the end of the second one's run."""
+    world = with_a_resubmission_beside_a_frozen_sidecar()
     world.hosts_ignoring_stops.add("side1")
     world.run(ms(800))
     world.close_request("entry0", "r2")
@@ -63,14 +59,13 @@
     assert world.end_of("r3") is JobEnd.COMPLETED
 
 
-def test_a_copy_does_not_wait_for_an_end_that_was_lost_with_a_connection():
-    """A withdrawn run ends, and its end is lost with the connection. Asked on the next
-    one to withdraw the run, the sidecar has none, and said nothing; the job's copy
-    waited at its entry until its caller left.
+def test_a_resubmission_does_not_wait_for_an_end_lost_with_a_connection():
+    """The end of a withdrawn run is lost with its connection. The sidecar must report
+    it when the withdrawal is sent again.
     """
     world = settled()
     for worker in world.workers.values():
-        worker.takes = lambda task: timedelta(seconds=1)
+        worker.run_time = lambda task: timedelta(seconds=1)
     world.submit("entry0", "r1", job("j1", count=1), ms(20_000))
     world.run(ms(100))
     world.close_request("entry0", "r1")
@@ -86,14 +81,14 @@
     assert not world.violations
 
 
-def test_a_run_that_is_withdrawn_before_it_comes_never_starts():
-    """Its placement was lost with a connection, or comes after the withdrawal."""
+def test_a_run_that_is_withdrawn_before_it_arrives_never_starts():
+    """Its placement was lost with a connection, or arrives after the withdrawal."""
     sidecar = LoneSidecar()
-    sidecar.take_list(ms(3), asked=ms(1), made=ms(2))
+    sidecar.handle_list(ms(3), sent_at=ms(1), listed_at=ms(2))
     run = RunId(TaskId("j1", 0, 0), 1)
-    effects = sidecar.take(ms(50), Received("entry-1", WithdrawRun(run)))
+    effects = sidecar.handle(ms(50), Received("entry-1", WithdrawRun(run)))
     (ended,) = [effect.message for effect in effects if isinstance(effect, Send)]
     assert ended.end is RunEnd.NOT_RUN
     place = PlaceRun(ms(49), run, TASK_ROOM, 1, TASK_TIME, ms(9000), "x")
-    effects = sidecar.take(ms(51), Received("entry-1", place))
+    effects = sidecar.handle(ms(51), Received("entry-1", place))
     assert not any(isinstance(effect, StartCommand) for effect in effects)
--- a/tests/runs/test_lease.py
+++ b/tests/runs/test_lease.py
@@ -1,4 +1,4 @@
-"""What a sidecar takes for granted of its worker's lease."""
+"""A sidecar's bounds on its worker's lease."""
 
 from gypsumspoke.core.events import PeerConnected, Received, Tick
 from gypsumspoke.runs.budget import DEFAULT_BUDGET, WORKER_CLOCK_ERROR
@@ -20,11 +20,11 @@
 
 
 def place(sidecar: LoneSidecar) -> StartCommand:
-    """Place a run 377 ms after the worker's latest answer; return its start."""
-    sidecar.take_list(ms(3), asked=ms(1), made=ms(2))
-    sidecar.take(ms(4), PeerConnected(ENTRY))
+    """Place a run some time after the worker's latest answer; return its start."""
+    sidecar.handle_list(ms(3), sent_at=ms(1), listed_at=ms(2))
+    sidecar.handle(ms(4), PeerConnected(ENTRY))
     message = PlaceRun(PLACED, RUN, TASK_ROOM, 1, TASK_TIME, ms(9000), "x")
-    effects = sidecar.take(PLACED, Received(ENTRY, message))
+    effects = sidecar.handle(PLACED, Received(ENTRY, message))
     (order,) = [effect for effect in effects if isinstance(effect, StartCommand)]
     return order
 
@@ -36,18 +36,18 @@
 
 
 def test_a_run_counts_as_at_work_until_the_end_of_its_lease_has_taken_effect():
-    """At the end of a lease runs are stopped, which takes as long as any stop. Taken
-    for gone at the end itself, a run's task was placed again beside it.
+    """When a lease expires runs are stopped, which takes as long as any stop; the task
+    must not be placed again before.
     """
     sidecar = LoneSidecar()
     place(sidecar)
     accepted = CommandAnswered(CommandKind.START, RUN, CommandResult.ACCEPTED, PLACED)
-    sidecar.take(PLACED + ms(1), accepted)
+    sidecar.handle(PLACED + ms(1), accepted)
     told: list[RunEnded] = []
     dead = PLACED + DEFAULT_BUDGET.lease_on_slow_clock + DEFAULT_BUDGET.bounds.stop
     for at in (dead - ms(40), dead - ms(1)):
-        sidecar.take(at, Received(ENTRY, Pulse(at)))
-        told += ends(sidecar.take(at, Tick()))
+        sidecar.handle(at, Received(ENTRY, Pulse(at)))
+        told += ends(sidecar.handle(at, Tick()))
     assert told == []
-    (end,) = ends(sidecar.take(dead + ms(1), Tick()))
+    (end,) = ends(sidecar.handle(dead + ms(1), Tick()))
     assert end.run == RUN
--- a/tests/runs/test_lost_stops.py
+++ b/tests/runs/test_lost_stops.py
@@ -1,4 +1,4 @@
-"""Stops that a worker leaves unanswered while it answers all else."""
+"""Stops that a worker leaves unanswered while it answers everything else."""
 
 from datetime import timedelta
 
@@ -39,7 +39,7 @@
     world = settled(budget=budget)
     for host, worker in world.workers.items():
         world.clock_rate[host] = 0.98
-        worker.takes = lambda task: timedelta(seconds=3)
+        worker.run_time = lambda task: timedelta(seconds=3)
     world.run(ms(500))
     world.submit("entry0", "r1", job("j1", count=1), ms(20_000))
     world.run(budget.tick)
@@ -48,7 +48,7 @@
     return world
 
 
-def come_back(world: World) -> None:
+def resubmit_elsewhere(world: World) -> None:
     """Send the job again through the other entry, to the other worker."""
     world.drained_at["side0"] = world.now
     world.send_heartbeat("side0", WorkerState.DRAINING)
@@ -56,7 +56,7 @@
     world.run(ms(5000))
 
 
-def submit_beside(world: World, duration: timedelta) -> None:
+def submit_other_jobs(world: World, duration: timedelta) -> None:
     """Let time pass with a new job through the other entry every 40 ms."""
     end = world.now + duration
     number = 0
@@ -69,24 +69,24 @@
 
 @EACH_BUDGET
 def test_lost_stops_of_a_lost_entry_leave_no_run_beside_the_next(budget):
-    """An entry is lost, and the stops of its run go unanswered while holds are
-    answered. The caller's copy must find the run ended with its lease.
+    """An entry is lost, and the stops of its run go unanswered while renewals are
+    answered. The lease must end the run before the resubmission starts.
     """
     world = with_a_run_at_side0(budget)
     world.power_off("entry0")
     world.run(budget.bounds.resend)
-    come_back(world)
+    resubmit_elsewhere(world)
     assert world.end_of("r2") is JobEnd.COMPLETED
     assert not world.violations
 
 
 @EACH_BUDGET
 def test_lost_stops_of_a_withdrawn_job_leave_no_run_beside_the_next(budget):
-    """A caller leaves an entry that lives on, and the stops go unanswered."""
+    """A caller disconnects from a live entry, and the stops go unanswered."""
     world = with_a_run_at_side0(budget)
     world.close_request("entry0", "r1")
     world.run(budget.bounds.resend)
-    come_back(world)
+    resubmit_elsewhere(world)
     assert world.end_of("r2") is JobEnd.COMPLETED
     assert not world.violations
 
@@ -94,16 +94,16 @@
 @EACH_BUDGET
 @pytest.mark.parametrize("is_lost", [True, False], ids=["lost", "left"])
 def test_starts_extend_no_lease_while_a_stop_is_unanswered(budget, is_lost):
-    """As above, while another entry has tasks started on the same worker."""
+    """As above, while another entry starts tasks on the same worker."""
     world = with_a_run_at_side0(budget)
     for worker in world.workers.values():
-        worker.takes = lambda task: ms(3000 if task.job == "j1" else 20)
+        worker.run_time = lambda task: ms(3000 if task.job == "j1" else 20)
     if is_lost:
         world.power_off("entry0")
     else:
         world.close_request("entry0", "r1")
-    submit_beside(world, budget.bounds.resend)
-    come_back(world)
+    submit_other_jobs(world, budget.bounds.resend)
+    resubmit_elsewhere(world)
     assert world.end_of("r2") is JobEnd.COMPLETED
     assert not world.violations
 
@@ -114,8 +114,8 @@
 def test_a_lease_ends_before_a_living_entry_places_the_task_again(
     budget, cut_after, ticks
 ):
-    """A sidecar is cut off from its entry, and freezes between the moment at which the
-    entry has been silent for too long and the next tick, which would show it.
+    """A sidecar is partitioned from its entry, and pauses just before the tick at which
+    it would notice the entry's silence.
     """
     world = with_a_run_at_side0(budget)
     world.run(budget.tick * cut_after)
@@ -140,18 +140,19 @@
 
 
 def test_a_sidecar_that_wakes_starts_no_run_of_a_lost_entry():
-    """A run waits for an older one of its task, and the sidecar is paused. The first
-    event that it sees again is the older run's end; the waiting run's entry may have
-    been lost long since, and its caller be served elsewhere.
+    """After a pause the first event is the end that a queued run waits for; the run's
+    entry may have been lost meanwhile.
     """
     sidecar = LoneSidecar()
-    sidecar.take_list(ms(3), asked=ms(1), made=ms(2))
+    sidecar.handle_list(ms(3), sent_at=ms(1), listed_at=ms(2))
     older, newer = RunId(TASK, 1), RunId(TASK, 2)
     for at, entry, run in ((ms(100), "entry-1", older), (ms(200), "entry-2", newer)):
         place = PlaceRun(at, run, TASK_ROOM, 1, TASK_TIME, ms(9000), "x")
-        sidecar.take(at, Received(entry, place))
+        sidecar.handle(at, Received(entry, place))
     end = EndedRun(1, older, RunEnd.STOPPED, False)
-    effects = sidecar.take_list(ms(1500), ended=[end], asked=ms(201), made=ms(1499))
+    effects = sidecar.handle_list(
+        ms(1500), ended=[end], sent_at=ms(201), listed_at=ms(1499)
+    )
     assert not any(isinstance(effect, StartCommand) for effect in effects)
 
 
@@ -173,7 +174,7 @@
     silences=st.lists(st.integers(0, 3000).map(ms), min_size=1),
 )
 def test_no_lease_outlives_what_an_entry_counts_on(budget, silences):
-    """Whenever orders name the end of a lease, and however slow the worker's clock."""
+    """Holds whenever the lease is extended, also if the worker's clock is slow."""
     ends = [
         silence + max(budget.on_slow_clock(budget.allowed_lease(silence)), timedelta())
         for silence in silences
--- a/tests/runs/test_orphans.py
+++ b/tests/runs/test_orphans.py
@@ -1,4 +1,4 @@
-"""Runs that a new sidecar finds at its worker."""
+"""Orphans: runs that a new process of a sidecar finds at its worker."""
 
 from gypsumspoke.core.effects import Send
 from gypsumspoke.core.events import PeerConnected
@@ -12,8 +12,8 @@
 
 
 def is_clean(sidecar, at) -> bool:
-    """Return what an entry that connects now is told."""
-    effects = sidecar.take(at, PeerConnected("entry-1"))
+    """Return whether an entry that connects now gets a clean report."""
+    effects = sidecar.handle(at, PeerConnected("entry-1"))
     (message,) = [
         effect.message
         for effect in effects
@@ -23,35 +23,32 @@
 
 
 def test_a_run_that_is_being_stopped_for_a_new_sidecar_is_at_work():
-    """A sidecar's process is replaced beside a run of its predecessor. It has the run
-    stopped, and the next list comes at once and lacks it, though it is at work until
-    the stop has taken effect. Called clean by then, the sidecar gets the same task
-    again and starts it beside the old run.
+    """While an orphan is being stopped no list shows it, but it still runs. A sidecar
+    that reported itself as clean could get the same task again.
     """
     sidecar = LoneSidecar()
-    effects = sidecar.take_list(ms(100), running=[FOUND])
+    effects = sidecar.handle_list(ms(100), running=[FOUND])
     assert any(isinstance(effect, StopCommand) for effect in effects)
-    sidecar.take_list(ms(102), running=[FOUND])
-    sidecar.take_list(ms(105))
+    sidecar.handle_list(ms(102), running=[FOUND])
+    sidecar.handle_list(ms(105))
     assert not is_clean(sidecar, ms(106))
-    sidecar.take_list(ms(150))
+    sidecar.handle_list(ms(150))
     assert not is_clean(sidecar, ms(151))
-    sidecar.take_list(ms(170))
+    sidecar.handle_list(ms(170))
     assert is_clean(sidecar, ms(171))
 
 
 def test_a_run_whose_end_is_listed_is_gone():
     sidecar = LoneSidecar()
-    sidecar.take_list(ms(100), running=[FOUND])
-    sidecar.take_list(ms(105))
-    sidecar.take_list(ms(110), ended=[EndedRun(1, FOUND, RunEnd.STOPPED, False)])
+    sidecar.handle_list(ms(100), running=[FOUND])
+    sidecar.handle_list(ms(105))
+    sidecar.handle_list(ms(110), ended=[EndedRun(1, FOUND, RunEnd.STOPPED, False)])
     assert is_clean(sidecar, ms(111))
 
 
 def test_the_lease_of_a_run_ends_that_a_new_sidecar_can_not_stop():
-    """A sidecar's process is replaced beside a run, and the stops of the new one are
-    lost while its holds are answered. Each hold extended the lease, and the run was
-    still at work when its entry placed the task elsewhere.
+    """A new process's stops are lost while its renewals are answered; those must not
+    extend the lease of the orphan.
     """
     world = World(entries=1)
     for host in ("side0", "side1"):
@@ -74,13 +71,13 @@
 
 
 def test_an_older_list_that_comes_late_does_not_hide_a_run_that_is_being_stopped():
-    """A list from before the run began comes after one that shows it. Counted from the
-    older list, the time that a stop may take had passed when the stop had just begun.
+    """A list from before the run began arrives after one that shows it; the time that a
+    stop may take must not be counted from the older list.
     """
     sidecar = LoneSidecar()
-    sidecar.take_list(ms(200), running=[FOUND])
-    sidecar.take_list(ms(201), asked=ms(100), made=ms(101))
-    sidecar.take_list(ms(205))
+    sidecar.handle_list(ms(200), running=[FOUND])
+    sidecar.handle_list(ms(201), sent_at=ms(100), listed_at=ms(101))
+    sidecar.handle_list(ms(205))
     assert not is_clean(sidecar, ms(206))
-    sidecar.take_list(ms(270))
+    sidecar.handle_list(ms(270))
     assert is_clean(sidecar, ms(271))
--- a/tests/runs/test_renewals.py
+++ b/tests/runs/test_renewals.py
@@ -1,4 +1,4 @@
-"""Holds under way at the worker, one at a time."""
+"""Lease renewals: one is pending at a time."""
 
 from gypsumspoke.core.events import Tick
 from gypsumspoke.runs.worker_commands import CommandResult, RenewalFailed, RenewCommand
@@ -6,31 +6,31 @@
 from tests.runs.world import World, ms
 
 
-def holds(effects) -> list[RenewCommand]:
+def renewals(effects) -> list[RenewCommand]:
     return [effect for effect in effects if isinstance(effect, RenewCommand)]
 
 
-def test_the_answer_to_an_overdue_hold_does_not_start_a_second_one_beside_the_next():
-    """A sidecar is paused while a hold is under way, and asks again before it reads the
+def test_the_answer_to_an_overdue_renewal_does_not_cause_a_second_pending_one():
+    """A sidecar is paused while one is pending, and asks again before it reads the
     answer. With each such pause one more hold was under way from then on, and lists
     overtook each other.
     """
     sidecar = LoneSidecar()
-    (first,) = holds(sidecar.take_list(ms(100)))
-    (second,) = holds(sidecar.take(ms(1100), Tick()))
-    assert holds(sidecar.take_list(ms(1101), number=first.number)) == []
-    assert len(holds(sidecar.take_list(ms(1160), number=second.number))) == 1
+    (first,) = renewals(sidecar.handle_list(ms(100)))
+    (second,) = renewals(sidecar.handle(ms(1100), Tick()))
+    assert renewals(sidecar.handle_list(ms(1101), number=first.number)) == []
+    assert len(renewals(sidecar.handle_list(ms(1160), number=second.number))) == 1
 
 
-def test_a_late_failure_of_an_overdue_hold_starts_none_either():
+def test_a_late_failure_of_an_overdue_renewal_causes_none_either():
     sidecar = LoneSidecar()
-    (first,) = holds(sidecar.take_list(ms(100)))
-    assert len(holds(sidecar.take(ms(1100), Tick()))) == 1
+    (first,) = renewals(sidecar.handle_list(ms(100)))
+    assert len(renewals(sidecar.handle(ms(1100), Tick()))) == 1
     failed = RenewalFailed(CommandResult.UNANSWERED, number=first.number)
-    assert holds(sidecar.take(ms(1101), failed)) == []
+    assert renewals(sidecar.handle(ms(1101), failed)) == []
 
 
-def test_a_sidecar_that_was_frozen_often_sends_no_more_holds_than_before():
+def test_a_sidecar_that_was_paused_often_sends_no_more_renewals():
     world = World(entries=1, sidecars=1)
     world.tick_on_wake = True
     for _ in range(4):
@@ -39,6 +39,6 @@
     world.run(ms(2000))
     world.log.clear()
     world.run(ms(1000))
-    sent = holds(effect for _, _, effect in world.log)
+    sent = renewals(effect for _, _, effect in world.log)
     # Each is answered after the wait for an end.
     assert len(sent) <= 1000 / 60 + 1
--- a/tests/runs/test_replaced.py
+++ b/tests/runs/test_replaced.py
@@ -1,4 +1,4 @@
-"""What an entry concludes from the reports of a sidecar's next process."""
+"""Sidecars whose process is replaced, as seen by entries."""
 
 import pytest
 
@@ -12,9 +12,8 @@
 
 
 def test_a_late_report_of_an_earlier_process_ends_no_run_of_the_next():
-    """A sidecar's process is lost without a sign and replaced, and the connection to
-    the next one is reset. The last report of the first, which lay on the way, says that
-    nothing of an earlier process runs; it says nothing of the next.
+    """A sidecar's process is lost without notice and replaced. A delayed clean report
+    of the old process must not end runs of the new one.
     """
     world = settled(sidecars=2)
     first = world.processes["side0"].name
@@ -29,7 +28,7 @@
     world.start_sidecar("side0")
     world.run(ms(600))
     for worker in world.workers.values():
-        worker.takes = lambda task: ms(1000)
+        worker.run_time = lambda task: ms(1000)
     world.submit("entry0", "r1", job("j1", count=4), ms(9000))
     world.run(ms(50))
     assert world.workers["side0"].running
@@ -47,8 +46,8 @@
 
 @pytest.mark.parametrize("before", [0.5, 10, 40])
 def test_a_run_in_the_middle_of_its_stop_is_not_taken_for_gone(before):
-    """A sidecar has a run stopped and is killed; the stop is carried out late, just
-    before the next process looks. Its first list shows neither the run nor its end.
+    """A killed sidecar's stop is carried out just before the next process requests its
+    first list, which shows neither the run nor its end.
     """
     world = World(entries=1, sidecars=2)
     for host in world.workers:
--- a/tests/runs/test_reports.py
+++ b/tests/runs/test_reports.py
@@ -68,7 +68,7 @@
 def test_an_entry_with_a_run_answers_reports_within_a_tick():
     """Its sidecar would stop the run after five ticks of silence."""
     world = settled(sidecars=1)
-    world.workers["side0"].takes = lambda task: ms(1000)
+    world.workers["side0"].run_time = lambda task: ms(1000)
     world.submit("entry0", "r0", job("j0", count=1, estimate=ms(1000)))
     world.run(ms(30))
     start = world.now
@@ -108,7 +108,7 @@
         world.submit("entry0", f"a{number}", warm)
         world.run(ms(250))
     worker = world.workers["side0"]
-    worker.takes = lambda task: ms(1000)
+    worker.run_time = lambda task: ms(1000)
     slow = job("slow")._replace(steps=(small._replace(count=4),))
     world.submit("entry0", "slow", slow)
     world.run(ms(300))
--- a/tests/runs/test_safeguards.py
+++ b/tests/runs/test_safeguards.py
@@ -1,7 +1,4 @@
-"""Each safeguard switched off: the history that needs it breaks a promise.
-
-A safeguard whose absence no test notices may be lost without a sign.
-"""
+"""Mutation tests: with a safeguard disabled, the scenario that needs it must fail."""
 
 from datetime import timedelta
 
@@ -38,16 +35,15 @@
 
 LONG = timedelta(seconds=60)
 
-lose_stops = (
+lost_stops_test = (
     test_lost_stops.test_lost_stops_of_a_lost_entry_leave_no_run_beside_the_next
 )
 
 
-def order_held_up() -> World:
-    """A cut holds an order up; it arrives while the task runs elsewhere.
+def delayed_placement() -> World:
+    """Return a world in which a placement arrives while its task runs elsewhere.
 
-    The entry places the task on the second worker when the time budget of the first is
-    over. The cut heals while that run is at work.
+    A partition delays it until the entry has placed the task on the second worker.
     """
     world = settled()
     test_faults.long_tasks(world)
@@ -59,11 +55,11 @@
     return world
 
 
-def test_an_order_that_was_held_up_does_not_start_beside_the_new_run():
-    assert not order_held_up().violations
+def test_a_delayed_placement_does_not_start_beside_the_new_run():
+    assert not delayed_placement().violations
 
 
-AGAINST_OLD_ORDERS = [
+STALE_PLACEMENT_SAFEGUARDS = [
     (budget.Budget, "max_placement_age", LONG),
     (budget.Budget, "allowed_lease", lambda self, silence: self.lease),
     (supervisor_lease, "_lease_ends_within_budget", lambda state, heard: True),
@@ -71,27 +67,27 @@
 
 
 @pytest.mark.parametrize(
-    "kept", range(3), ids=[name for _, name, _ in AGAINST_OLD_ORDERS]
+    "kept", range(3), ids=[name for _, name, _ in STALE_PLACEMENT_SAFEGUARDS]
 )
-def test_each_of_three_safeguards_holds_against_an_old_order(monkeypatch, kept):
-    for number, safeguard in enumerate(AGAINST_OLD_ORDERS):
+def test_each_of_three_safeguards_suffices_against_a_stale_placement(monkeypatch, kept):
+    for number, safeguard in enumerate(STALE_PLACEMENT_SAFEGUARDS):
         if number != kept:
             monkeypatch.setattr(*safeguard)
-    assert not order_held_up().violations
+    assert not delayed_placement().violations
 
 
-def test_an_order_older_than_its_bound_is_refused():
+def test_a_placement_older_than_its_bound_is_refused():
     sidecar = LoneSidecar()
-    sidecar.take_list(ms(3), asked=ms(1), made=ms(2))
+    sidecar.handle_list(ms(3), sent_at=ms(1), listed_at=ms(2))
     fresh = DEFAULT_BUDGET.max_placement_age
     for age, refused in ((fresh - ms(1), False), (fresh + ms(1), True)):
         run = RunId(TaskId(f"j{age}", 0, 0), 1)
         place = PlaceRun(ms(400), run, TASK_ROOM, 1, TASK_TIME, ms(9000), "x")
-        effects = sidecar.take(ms(400) + age, Received("entry-1", place))
+        effects = sidecar.handle(ms(400) + age, Received("entry-1", place))
         assert (Count(EndReason.ORDER_STALE) in effects) is refused
 
 
-def assert_nothing_broken(world: World) -> None:
+def assert_no_violations(world: World) -> None:
     assert not world.violations
 
 
@@ -113,23 +109,23 @@
         id="leases are short",
     ),
     pytest.param(
-        AGAINST_OLD_ORDERS,
-        lambda: assert_nothing_broken(order_held_up()),
-        id="old orders are refused, and no run outlives its entry's last word",
+        STALE_PLACEMENT_SAFEGUARDS,
+        lambda: assert_no_violations(delayed_placement()),
+        id="stale placements are refused, and no run outlives its entry for too long",
     ),
     pytest.param(
         [
             (budget.Budget, "allowed_lease", lambda self, silence: self.lease),
         ],
-        lambda: lose_stops(DEFAULT_BUDGET),
-        id="leases end by the last word of an entry whose runs are not stopped",
+        lambda: lost_stops_test(DEFAULT_BUDGET),
+        id="leases end in time for an entry whose runs are not stopped",
     ),
     pytest.param(
         [
             (supervisor_queue, "lease_allows_run", lambda state, run, now: True),
         ],
         test_lost_stops.test_a_sidecar_that_wakes_starts_no_run_of_a_lost_entry,
-        id="nothing starts for an entry that was not heard lately",
+        id="nothing starts for an entry that was not heard recently",
     ),
     pytest.param(
         [
@@ -143,7 +139,7 @@
             (supervisor_commands, "reserve_room", lambda state, run: None),
         ],
         test_job_lifecycle.test_jobs_of_two_entries_share_a_worker_within_its_room,
-        id="starts take room",
+        id="starts reserve room",
     ),
     pytest.param(
         [
@@ -159,21 +155,21 @@
             ),
         ],
         test_faults.test_a_worker_that_crashed_is_not_taken_for_full,
-        id="a new life counts anew",
+        id="a new incarnation numbers its ends anew",
     ),
     pytest.param(
         [
             (supervisor_renewals, "stop_orphans", lambda state, event, is_first: []),
         ],
         test_faults.test_a_killed_sidecar_is_replaced_and_its_tasks_run_again_soon,
-        id="unknown runs are stopped",
+        id="orphans are stopped",
     ),
     pytest.param(
         [
             (budget.Budget, "stop_settle_time", timedelta()),
         ],
         test_orphans.test_a_run_that_is_being_stopped_for_a_new_sidecar_is_at_work,
-        id="an unknown run counts until its stop has taken effect",
+        id="an orphan counts until its stop has taken effect",
     ),
     pytest.param(
         [
@@ -184,42 +180,42 @@
             ),
         ],
         test_caller_timeouts.test_a_new_job_goes_before_those_that_come_back,
-        id="callers that come back are told from new ones",
+        id="resubmissions are distinguished from new jobs",
     ),
     pytest.param(
         [
             (assignment, "_longest_estimate", lambda state, progress: ms(0)),
         ],
         test_overload.test_a_job_that_can_not_be_in_time_any_more_lets_others_go_before,
-        id="jobs that can't be in time any more let others go before",
+        id="jobs that can't meet their target latency yield to others",
     ),
     pytest.param(
         [
             (supervisor_placement, "_refuse_without_room", lambda state, run, now: []),
         ],
         test_reports.test_a_run_that_finds_no_room_goes_where_there_is_some,
-        id="runs without room are sent back",
+        id="runs without room are refused",
     ),
 ]
 
 
-@pytest.mark.parametrize("switched_off, history", SAFEGUARDS)
-def test_its_history_fails_without_it(monkeypatch, switched_off, history):
-    for safeguard in switched_off:
+@pytest.mark.parametrize("disabled, scenario", SAFEGUARDS)
+def test_its_scenario_fails_without_it(monkeypatch, disabled, scenario):
+    for safeguard in disabled:
         monkeypatch.setattr(*safeguard)
     with pytest.raises((AssertionError, KeyError)):
-        history()
+        scenario()
 
 
-@pytest.mark.parametrize("switched_off, history", SAFEGUARDS)
-def test_its_history_holds_with_it(switched_off, history):
-    history()
+@pytest.mark.parametrize("disabled, scenario", SAFEGUARDS)
+def test_its_scenario_passes_with_it(disabled, scenario):
+    scenario()
 
 
-def test_a_copy_does_not_start_before_the_old_run_is_gone(monkeypatch):
-    """Without the wait for a withdrawn run, the copy of the job runs beside it."""
+def test_a_resubmission_does_not_start_before_the_old_run_has_ended(monkeypatch):
+    """Without the wait for a withdrawn run, the resubmission runs beside it."""
 
-    def history() -> World:
+    def scenario() -> World:
         world = settled()
         test_faults.long_tasks(world)
         world.submit("entry0", "r1", job("j1", count=1))
@@ -231,7 +227,7 @@
         assert world.end_of("r2") is JobEnd.COMPLETED
         return world
 
-    assert not history().violations
+    assert not scenario().violations
     choose = assignment._choose
 
     def careless(state, progress, task, now):
@@ -239,4 +235,4 @@
         return choose(state, progress, task, now)
 
     monkeypatch.setattr(assignment, "_choose", careless)
-    assert history().violations
+    assert scenario().violations
--- a/tests/runs/worker.py
+++ b/tests/runs/worker.py
@@ -1,8 +1,8 @@
-"""A worker as a value: what it runs, under which lease, and what went wrong.
+"""A simulated worker: its runs, its lease and the invariants that were violated.
 
-It follows the platform's description of workers as far as best-effort jobs need it, on
-a steady clock of its own that may be slow. It does not guard its capacity; whoever
-tells it to start too much breaks a promise, which is recorded in ``violations``.
+It implements the platform's worker as far as best-effort jobs need it, on a steady
+clock of its own that may be slow. It does not enforce its capacity; starts beyond it
+are recorded in ``violations``.
 """
 
 from datetime import timedelta
@@ -19,36 +19,36 @@
 )
 
 ZERO = timedelta()
-LONGEST_HOLD = timedelta(seconds=1)
-STOP_LASTS = timedelta(milliseconds=45)
+MAX_LEASE = timedelta(seconds=1)
+STOP_DURATION = timedelta(milliseconds=45)
 
 
 class Running(NamedTuple):
-    """One run at work: what it takes, how long, and since when."""
+    """One running run: its room, its run time and when it began."""
 
     run: RunId
     room: Room
     began: timedelta
-    takes: timedelta
+    run_time: timedelta
 
 
 class FakeWorker:
-    """One life of a worker.
+    """One incarnation of a worker.
 
     Args:
       capacity: what it has.
-      rooms: what a task takes.
-      takes: how long a task runs here.
+      rooms: the room that a task needs.
+      run_time: how long a task runs here.
       fails: whether a run of this task ends failed.
     """
 
-    def __init__(self, capacity, rooms, takes, fails=lambda run: False) -> None:
+    def __init__(self, capacity, rooms, run_time, fails=lambda run: False) -> None:
         self.capacity = capacity
         self.rooms = rooms
-        self.takes = takes
+        self.run_time = run_time
         self.fails = fails
         self.running: dict[RunId, Running] = {}
-        # Runs that are being stopped: at work, and in neither list.
+        # Runs that are being stopped: still running, but in neither list.
         self.stopping: dict[RunId, tuple[Running, timedelta]] = {}
         self.ended: list[EndedRun] = []
         self.lease_end = ZERO
@@ -60,62 +60,62 @@
         self.starts: list[RunId] = []
 
     def advance(self, clock: timedelta) -> None:
-        """End what is complete, and everything when the lease has ended."""
+        """End completed runs, and all runs when the lease has expired."""
         for run, (_, until) in list(self.stopping.items()):
             if until <= clock:
                 del self.stopping[run]
                 self._list_end(run, RunEnd.STOPPED)
-        for at_work in list(self.running.values()):
-            ends = at_work.began + at_work.takes
+        for running in list(self.running.values()):
+            ends = running.began + running.run_time
             if not self.stuck and ends <= min(clock, self.lease_end):
-                failed = self.fails(at_work.run)
-                self._end(at_work.run, RunEnd.FAILED if failed else RunEnd.DONE)
+                failed = self.fails(running.run)
+                self._end(running.run, RunEnd.FAILED if failed else RunEnd.DONE)
         if clock > self.lease_end:
             for run in list(self.running):
                 self._end(run, RunEnd.LOST, lapsed=True)
 
-    def start(self, order: StartCommand, clock: timedelta) -> CommandResult:
+    def start(self, command: StartCommand, clock: timedelta) -> CommandResult:
         """Carry out a start."""
         self.advance(clock)
-        if order.token < self.token:
+        if command.token < self.token:
             return CommandResult.FENCED
-        self.token = order.token
-        if order.run in self.running:
+        self.token = command.token
+        if command.run in self.running:
             return CommandResult.ACCEPTED
-        if order.lease_end <= clock:
+        if command.lease_end <= clock:
             return CommandResult.LATE
-        self._extend(order.lease_end, clock)
-        if order.run.number <= self.highest.get(order.run.task, 0):
+        self._extend(command.lease_end, clock)
+        if command.run.number <= self.highest.get(command.run.task, 0):
             return CommandResult.NUMBER_TOO_LOW
-        self._begin(order.run, clock)
+        self._begin(command.run, clock)
         return CommandResult.ACCEPTED
 
-    def stop(self, order: StopCommand, clock: timedelta) -> CommandResult:
-        """Carry out a stop, also of a run that is not there yet."""
+    def stop(self, command: StopCommand, clock: timedelta) -> CommandResult:
+        """Carry out a stop; a run that has not started is refused from then on."""
         self.advance(clock)
-        if order.token < self.token:
+        if command.token < self.token:
             return CommandResult.FENCED
-        self.token = order.token
-        known = self.highest.get(order.run.task, 0)
-        self.highest[order.run.task] = max(known, order.run.number)
-        if order.run in self.running:
-            at_work = self.running.pop(order.run)
-            self.stopping[order.run] = (at_work, clock + STOP_LASTS)
+        self.token = command.token
+        known = self.highest.get(command.run.task, 0)
+        self.highest[command.run.task] = max(known, command.run.number)
+        if command.run in self.running:
+            running = self.running.pop(command.run)
+            self.stopping[command.run] = (running, clock + STOP_DURATION)
         return CommandResult.ACCEPTED
 
-    def hold(self, order: RenewCommand, clock: timedelta) -> CommandResult:
-        """Extend the lease."""
+    def hold(self, command: RenewCommand, clock: timedelta) -> CommandResult:
+        """Extend the lease and drop the ends that were processed."""
         self.advance(clock)
-        if order.token < self.token:
+        if command.token < self.token:
             return CommandResult.FENCED
-        self.token = order.token
-        if order.lease_end is not None:
-            self._extend(order.lease_end, clock)
-        self.ended = [end for end in self.ended if end.number > order.last_seen]
+        self.token = command.token
+        if command.lease_end is not None:
+            self._extend(command.lease_end, clock)
+        self.ended = [end for end in self.ended if end.number > command.last_seen]
         return CommandResult.ACCEPTED
 
     def listed(self, clock: timedelta) -> tuple[RunningRun, ...]:
-        """Return what runs, with its progress."""
+        """Return the running runs with their progress."""
         return tuple(
             RunningRun(each.run, self._percent(each, clock))
             for each in self.running.values()
@@ -124,10 +124,10 @@
     def _percent(self, each: Running, clock: timedelta) -> int:
         if self.stuck:
             return 0
-        return min(99, int((clock - each.began) / each.takes * 100))
+        return min(99, int((clock - each.began) / each.run_time * 100))
 
     def _extend(self, lease_end: timedelta, clock: timedelta) -> None:
-        self.lease_end = max(self.lease_end, min(lease_end, clock + LONGEST_HOLD))
+        self.lease_end = max(self.lease_end, min(lease_end, clock + MAX_LEASE))
 
     def _begin(self, run: RunId, clock: timedelta) -> None:
         self.starts.append(run)
@@ -140,7 +140,7 @@
                 self.violations.append(f"two runs of {run.task} on one worker")
         if not fits(add(held, room), self.capacity):
             self.violations.append(f"{run} started over the capacity")
-        self.running[run] = Running(run, room, clock, self.takes(run.task))
+        self.running[run] = Running(run, room, clock, self.run_time(run.task))
 
     def _end(self, run: RunId, end: RunEnd, lapsed: bool = False) -> None:
         del self.running[run]
--- a/tests/runs/world.py
+++ b/tests/runs/world.py
@@ -326,19 +326,19 @@
             process.backlog.append(event)
             return
         if process.host in self.costs:
-            self._queue_up(process, event)
+            self._enqueue(process, event)
             return
         for effect in process.reduce(process.state, event, self.now):
             self._perform(process, effect)
 
-    def _queue_up(self, process: Process, event: Any) -> None:
+    def _enqueue(self, process: Process, event: Any) -> None:
         """Let an event wait until a process without time to spare comes to it."""
         process.queue.append((self.now, event))
         if not process.is_busy:
             process.is_busy = True
-            self._take_next(process)
+            self._handle_next(process)
 
-    def _take_next(self, process: Process) -> None:
+    def _handle_next(self, process: Process) -> None:
         if not process.alive or not process.queue:
             process.is_busy = False
             return
@@ -348,7 +348,7 @@
         def finish() -> None:
             for effect in effects:
                 self._perform(process, effect)
-            self._take_next(process)
+            self._handle_next(process)
 
         self.at(cost, finish)
 
@@ -412,7 +412,7 @@
                 event = Received(process.name, message)
                 self.at(ONE_WAY, lambda: self._deliver(pair, to, event))
             case AnswerJob():
-                self._take_answer(effect)
+                self._record_answer(effect)
             case StartCommand() | StopCommand() | RenewCommand():
                 self.at(ZERO, lambda: self._order(process, effect))
             case Exit():
@@ -430,7 +430,7 @@
             return
         self.post(process, event)
 
-    def _take_answer(self, answer: AnswerJob) -> None:
+    def _record_answer(self, answer: AnswerJob) -> None:
         if answer.request in self.answers:
             self.violations.append(f"{answer.request} was answered twice")
         self.answers[answer.request] = answer
@@ -517,7 +517,7 @@
             self._carry_out(host, worker, order)
 
     def _unanswered(self, process: Process, order: Any) -> None:
-        event = _no_answer(order)
+        event = _unanswered_event(order)
         delay = _wait_of(order) + COMMAND_TIMEOUT
         self.at(delay, lambda: self.post(process, event))
 
@@ -526,7 +526,7 @@
         exchange = Exchange(process, order, self.now)
         worker = self.workers[process.host]
         patience = _wait_of(order) + fate.given_up
-        self.at(patience, lambda: self._close(exchange, _no_answer(order)))
+        self.at(patience, lambda: self._close(exchange, _unanswered_event(order)))
         if fate.arrives is not None:
             self.at(fate.arrives, lambda: self._arrive(exchange, worker, fate))
 
@@ -664,7 +664,7 @@
     return order.wait if isinstance(order, RenewCommand) else ZERO
 
 
-def _no_answer(order: Any) -> RenewalFailed | CommandAnswered:
+def _unanswered_event(order: Any) -> RenewalFailed | CommandAnswered:
     if isinstance(order, RenewCommand):
         return RenewalFailed(
             CommandResult.UNANSWERED, None, order.is_extra, order.token, order.number
