--- a/tests/runs/test_faults.py
+++ b/tests/runs/test_faults.py
@@ -1,4 +1,4 @@
-"""One or two faults at a time: what a caller sees; no task runs twice at once."""
+"""One or two faults at a time: what callers get; no task runs twice at once."""
 
 from datetime import timedelta
 
@@ -17,7 +17,7 @@
 
 
 def resubmit(world: World, count: int = 2) -> None:
-    """Send the job again, through the other entry, as early as a caller may."""
+    """Resubmit the job through the other entry, as early as a caller may."""
     world.run(RESEND)
     world.submit("entry1", "r2", job("j1", count))
     world.run(ms(2500))
@@ -35,8 +35,7 @@
 
 @pytest.mark.parametrize("lose", ["kill", "power_off"])
 def test_an_entry_is_lost_and_its_job_comes_through_another(lose):
-    """The entry dies with a run at work, and its caller sends the job again through
-    another entry 1.3 s later, when another worker is the better place. The sidecar has
+    """An entry dies, and its job is resubmitted through another. The sidecar must have
     noticed the entry's silence by then and stopped the old run.
     """
     world = settled()
@@ -52,9 +51,8 @@
 
 
 def test_an_entry_and_a_sidecar_are_lost_together():
-    """The entry dies, and the sidecar of its run freezes just before it would stop the
-    run. Nobody extends the worker's lease, whose clock is slow besides; it ends all the
-    same before the caller's second copy starts on the other worker.
+    """The entry dies, the sidecar freezes just before it would stop the run, and the
+    worker's clock is slow. The lease must end before the resubmission starts.
     """
     world = settled()
     long_tasks(world)
@@ -73,9 +71,8 @@
 
 
 def test_a_frozen_entry_wakes_and_starts_nothing_old():
-    """An entry freezes after it took a job, and the caller sends it elsewhere. When the
-    entry wakes, its orders name times of the sidecars' clocks that are long past, and
-    it finds the job's runs ended; it must not place them again beside the new ones.
+    """An entry that wakes after its job was resubmitted elsewhere must not place the
+    job's tasks again beside the new runs.
     """
     world = settled()
     long_tasks(world)
@@ -90,11 +87,8 @@
     assert world.end_of("r2") is JobEnd.COMPLETED
 
 
-def test_an_order_that_was_held_up_starts_nothing():
-    """A cut holds up an order to a sidecar. The entry waits for the time budget, then
-    places the task elsewhere. When the cut heals the old order arrives; started then,
-    it would run a task that has been answered.
-    """
+def test_a_delayed_placement_starts_nothing():
+    """A placement delayed by a partition arrives after the task ran elsewhere."""
     world = settled()
     world.cut_off("entry0", "side0")
     world.cut_off("entry0", "side1")
@@ -109,8 +103,8 @@
 
 
 def test_a_cut_moves_the_task_after_the_budget():
-    """A sidecar is cut off from the entry and runs on. The entry places its tasks
-    elsewhere only after the sidecar must have stopped them.
+    """The entry places the tasks of a partitioned sidecar elsewhere only once that must
+    have stopped them.
     """
     world = settled()
     long_tasks(world)
@@ -134,8 +128,7 @@
 
 
 def test_a_killed_sidecar_is_replaced_and_its_tasks_run_again_soon():
-    """The sidecar's process is killed and comes back before the lease has ended. It
-    finds runs that it knows nothing of, has them stopped, and says so; the entry then
+    """A restarted sidecar stops the orphans that it finds and reports so; the entry
     places their tasks again without waiting for the whole budget.
     """
     world = settled(sidecars=1)
@@ -150,10 +143,9 @@
     assert not world.violations
 
 
-def test_a_worker_that_crashed_is_not_taken_for_full():
-    """A worker crashes and is born again under its id; its ends count from 1 again. A
-    sidecar that compared them with the old count would never see one, hold the room of
-    all later runs for good, and the worker would stand idle.
+def test_a_restarted_worker_takes_work_again():
+    """A restarted worker numbers its ends from 1 again. A sidecar that compared them
+    with the old numbers would never free the room of later runs.
     """
     world = settled(sidecars=1)
     for number in range(4):
@@ -171,8 +163,8 @@
 
 
 def test_a_silent_worker_loses_its_tasks_to_another():
-    """A worker answers nothing any more but may run on. Its sidecar stops extending the
-    lease, waits until that has ended, and the tasks run on the other worker.
+    """The sidecar of an unresponsive worker stops extending the lease, waits for its
+    end, and the tasks run on the other worker.
     """
     world = settled()
     long_tasks(world)
@@ -184,7 +176,7 @@
     assert not world.violations
 
 
-def test_a_worker_on_which_tasks_stand_still_is_left():
+def test_stalled_tasks_move_to_another_worker():
     world = settled()
     world.workers["side0"].stuck = True
     world.submit("entry0", "r1", job("j1", count=2))
@@ -194,8 +186,8 @@
 
 
 def test_a_start_whose_answer_is_lost_runs_once():
-    """The worker starts a run and its answer is lost. The next list of what runs shows
-    it, so that it is neither stopped nor started a second time.
+    """A run whose start was not answered shows in the next list, and is neither stopped
+    nor started a second time.
     """
     world = settled(sidecars=1)
     world.lost_share = 0.3
@@ -210,9 +202,8 @@
 
 
 def test_a_start_that_is_answered_too_late_is_not_stopped():
-    """The worker, or its sidecar, stands still for a moment, and the answer to a start
-    comes after the sidecar has given it up. The run is at work; stopped, its task would
-    have to begin again. The sidecar asks first, sees it, and lets it run.
+    """When a start times out the sidecar first asks for the list of runs, and lets the
+    run go on if it is listed.
     """
     world = settled(sidecars=1)
     world.lose_start_answers = 2
@@ -222,10 +213,9 @@
     assert len(world.starts_of("j1")) == 2
 
 
-def test_a_run_that_is_being_stopped_is_not_taken_for_gone():
-    """A start is carried out just after the list that was asked for does not show it.
-    The sidecar stops the run, which takes some 50 ms, and meanwhile the worker shows it
-    neither as running nor as ended. Taken for gone, its task started beside it.
+def test_a_run_that_is_being_stopped_still_counts():
+    """A start is carried out just after a list without the run. While the sidecar stops
+    the run no list shows it, but its task must not start elsewhere yet.
     """
     world = settled()
     long_tasks(world)
@@ -236,9 +226,9 @@
     assert not world.violations
 
 
-def test_orders_that_are_carried_out_late_start_nothing():
-    """A share of the orders goes unanswered and is carried out seconds later. By then
-    the lease that each start names has ended, and the worker refuses it.
+def test_commands_carried_out_late_start_nothing():
+    """Commands carried out seconds late are refused: the lease end of each start has
+    passed.
     """
     world = settled()
     world.late_share = 0.2
@@ -290,9 +280,8 @@
 
 
 def test_an_entry_that_hears_no_sidecar_gives_up_at_once():
-    """An entry is cut off from all sidecars, while callers still reach it. What it took
-    is given up within 1.5 s and what comes is answered at once, so that the callers go
-    to another entry. It is not ready meanwhile; after the cut it serves again.
+    """An entry partitioned from all sidecars gives up its jobs, answers new ones at
+    once so that callers go elsewhere, and serves again after the partition.
     """
     world = settled()
     entry = world.processes["entry0"]
@@ -321,8 +310,8 @@
 
 
 def test_an_entry_that_wakes_does_not_take_itself_for_isolated():
-    """An entry stands still for three seconds. The reports of that time wait unread
-    when it goes on; taken for silence, it would give up what just came.
+    """After a pause of the entry the reports of that time are still unread; that must
+    not count as silence.
     """
     world = settled()
     world.freeze("entry0", ms(3000))
@@ -334,8 +323,8 @@
 
 
 def test_a_tick_that_comes_before_the_reports_of_a_pause_isolates_nobody():
-    """An entry stands still for three seconds, and its first event is a tick: what the
-    sidecars sent meanwhile is still unread. It must not give up the jobs that it has.
+    """After a pause the entry's first event is a tick, while reports are still unread.
+    It must not give up its jobs.
     """
     world = settled()
     long_tasks(world)
--- a/tests/runs/test_lease.py
+++ b/tests/runs/test_lease.py
@@ -25,14 +25,14 @@
     sidecar.handle(ms(4), PeerConnected(ENTRY))
     message = PlaceRun(PLACED, RUN, TASK_ROOM, 1, TASK_TIME, ms(9000), "x")
     effects = sidecar.handle(PLACED, Received(ENTRY, message))
-    (order,) = [effect for effect in effects if isinstance(effect, StartCommand)]
-    return order
+    (command,) = [effect for effect in effects if isinstance(effect, StartCommand)]
+    return command
 
 
 def test_a_lease_is_not_longer_on_a_clock_that_has_lagged_since_it_was_read():
-    order = place(LoneSidecar())
+    command = place(LoneSidecar())
     least_clock = ms(2) + (PLACED - ms(3)) / (1 + WORKER_CLOCK_ERROR)
-    assert order.lease_end - least_clock <= DEFAULT_BUDGET.lease
+    assert command.lease_end - least_clock <= DEFAULT_BUDGET.lease
 
 
 def test_a_run_counts_as_at_work_until_the_end_of_its_lease_has_taken_effect():
--- a/tests/runs/test_orphans.py
+++ b/tests/runs/test_orphans.py
@@ -58,9 +58,9 @@
     world.submit("entry0", "r1", job("j1", count=1), ms(8000))
     world.run(ms(50))
     (host,) = [host for host in world.workers if world.workers[host].running]
-    never = Delivery(arrives=None, returns=None)
-    world.delivery = lambda at, order: (
-        never if at == host and isinstance(order, StopCommand) else None
+    never = Delivery(arrival_delay=None, answer_delay=None)
+    world.delivery = lambda at, command: (
+        never if at == host and isinstance(command, StopCommand) else None
     )
     world.kill(host)
     world.run(ms(100))
--- a/tests/runs/test_replaced.py
+++ b/tests/runs/test_replaced.py
@@ -60,11 +60,11 @@
     world.workers[host].stuck = True
     stops = []
 
-    def delay_first_stop(at, order):
-        if at != host or not isinstance(order, StopCommand) or stops:
+    def delay_first_stop(at, command):
+        if at != host or not isinstance(command, StopCommand) or stops:
             return None
-        stops.append(order)
-        return Delivery(arrives=RESTART - ms(before), returns=None)
+        stops.append(command)
+        return Delivery(arrival_delay=RESTART - ms(before), answer_delay=None)
 
     world.delivery = delay_first_stop
     while not stops:
--- a/tests/runs/test_safeguards.py
+++ b/tests/runs/test_safeguards.py
@@ -154,7 +154,7 @@
                 lambda state, number, now: None,
             ),
         ],
-        test_faults.test_a_worker_that_crashed_is_not_taken_for_full,
+        test_faults.test_a_restarted_worker_takes_work_again,
         id="a new incarnation numbers its ends anew",
     ),
     pytest.param(
--- a/tests/runs/world.py
+++ b/tests/runs/world.py
@@ -1,9 +1,9 @@
-"""Entries, sidecars and workers in virtual time, with faults between them.
+"""A simulation of entries, sidecars and workers in virtual time, with fault injection.
 
 The real reducers run; only sockets, timers and workers are replaced. A fault is a call
 or a probability, so that a failure test reads as the order of its events, and a
-random walk (``walk.py``) can call them in any order. Broken promises are collected in
-``violations``.
+random walk (``walk.py``) can call them in any order. Violated invariants are collected
+in ``violations``.
 """
 
 import heapq
@@ -119,25 +119,25 @@
 
 
 class Delivery(NamedTuple):
-    """What becomes of one order to a worker.
+    """What becomes of one command to a worker.
 
     Attributes:
-      arrives: how long until the worker carries it out; None for never.
-      returns: how long the answer takes from there; None for never.
-      given_up: how long the sidecar's shell waits for it, beside the wait of a hold.
+      arrival_delay: time until the worker carries it out; None for never.
+      answer_delay: time from there until the answer arrives; None for never.
+      timeout: how long the sidecar's shell waits for it, beyond the wait of a renewal.
     """
 
-    arrives: timedelta | None
-    returns: timedelta | None
-    given_up: timedelta = COMMAND_TIMEOUT
+    arrival_delay: timedelta | None
+    answer_delay: timedelta | None
+    timeout: timedelta = COMMAND_TIMEOUT
 
 
 class Exchange:
-    """An order under way: who sent it, when, and whether an answer is still awaited."""
+    """A pending command: its sender, when it was sent, and whether it is unanswered."""
 
-    def __init__(self, process: Process, order: Any, sent: datetime) -> None:
+    def __init__(self, process: Process, command: Any, sent: datetime) -> None:
         self.process = process
-        self.order = order
+        self.command = command
         self.sent = sent
         self.is_open = True
 
@@ -146,8 +146,8 @@
     """A small deployment.
 
     Args:
-      entries, sidecars: how many.
-      seed: for the faults that are drawn.
+      entries, sidecars: number of each.
+      seed: seed of the random faults.
       budget: the time budget of all processes.
     """
 
@@ -182,7 +182,9 @@
         self.fails: Callable[[RunId], bool] = lambda run: False
         self.costs: dict[str, Callable[[Any], timedelta]] = {}
         self.refusal_cost = ZERO
-        self.delivery: Callable[[str, Any], Delivery | None] = lambda host, order: None
+        self.delivery: Callable[[str, Any], Delivery | None] = (
+            lambda host, command: None
+        )
         self.on_answer: Callable[[AnswerJob], None] = lambda answer: None
         self.drained_at: dict[str, datetime] = {}
         self.tick_on_wake = False
@@ -200,12 +202,12 @@
     # Time
 
     def at(self, delay: timedelta, call: Callable[[], None]) -> None:
-        """Call something later."""
+        """Schedule a call after a delay."""
         entry = (self.now + delay, next(self._numbers), call)
         heapq.heappush(self._queue, entry)
 
     def run(self, duration: timedelta) -> None:
-        """Let time pass."""
+        """Advance the virtual time."""
         end = self.now + duration
         while self._queue and self._queue[0][0] <= end:
             self.now, _, call = heapq.heappop(self._queue)
@@ -239,7 +241,7 @@
         return process
 
     def start_worker(self, host: str) -> None:
-        """Start a worker, or its next life."""
+        """Start a worker, or its next incarnation."""
         self.worker_incarnations[host] = self.worker_incarnations.get(host, 0) + 1
         self.worker_started_at[host] = self.now
         self.clock_rate.setdefault(host, 1.0)
@@ -260,14 +262,14 @@
             self._disconnect(pair)
 
     def power_off(self, host: str) -> None:
-        """End a process without a sign: peers only notice its silence."""
+        """End a process without notice: peers only notice its silence."""
         process = self.processes[host]
         if process.alive:
             process.died = self.now
         process.alive = False
 
     def freeze(self, host: str, duration: timedelta) -> None:
-        """Stop a process for a while; what arrives waits for it."""
+        """Pause a process; events that arrive meanwhile are queued."""
         process = self.processes[host]
         process.frozen = True
         self.at(duration, lambda: self._wake(process))
@@ -281,17 +283,17 @@
             self.post(process, event)
 
     def cut_off(self, one: str, other: str) -> None:
-        """Cut a link both ways; the connection goes silent, and breaks later."""
+        """Partition two hosts; their connection goes silent but isn't closed."""
         self.cut.add(frozenset((one, other)))
 
     def heal(self, one: str, other: str) -> None:
-        """Mend a cut link; a new connection is made."""
+        """End a partition; the old connection is closed and a new one is made."""
         self.cut.discard(frozenset((one, other)))
         pair = frozenset((self.processes[one].name, self.processes[other].name))
         self._disconnect(pair)
 
     def crash_worker(self, host: str) -> None:
-        """End a worker's life; the next one begins at once."""
+        """Crash a worker; its next incarnation starts at once."""
         self.start_worker(host)
 
     def drain(self, host: str) -> None:
@@ -332,7 +334,7 @@
             self._perform(process, effect)
 
     def _enqueue(self, process: Process, event: Any) -> None:
-        """Let an event wait until a process without time to spare comes to it."""
+        """Queue an event at a process whose events cost processor time."""
         process.queue.append((self.now, event))
         if not process.is_busy:
             process.is_busy = True
@@ -355,7 +357,7 @@
     def _work(
         self, process: Process, event: Any, came: datetime
     ) -> tuple[list[Any], timedelta]:
-        """Return what comes of an event, and the processor time that it takes."""
+        """Return the effects of an event, and the processor time that it takes."""
         if isinstance(event, JobArrived):
             refusal = refuse_overloaded(process.state, event.job.id)
             if refusal is not None:
@@ -414,7 +416,7 @@
             case AnswerJob():
                 self._record_answer(effect)
             case StartCommand() | StopCommand() | RenewCommand():
-                self.at(ZERO, lambda: self._order(process, effect))
+                self.at(ZERO, lambda: self._send_command(process, effect))
             case Exit():
                 process.exited = True
                 self.kill(process.host)
@@ -425,7 +427,7 @@
             return
         hosts = frozenset(name.rpartition("-")[0] for name in pair)
         if hosts in self.cut:
-            # Bytes on a cut link arrive when it heals, unless the connection breaks.
+            # Data on a partitioned link arrives after it, unless the connection closes.
             self.at(ms(50), lambda: self._deliver(pair, to, event))
             return
         self.post(process, event)
@@ -444,7 +446,7 @@
         return (self.now - self.worker_started_at[host]) * self.clock_rate[host]
 
     def send_heartbeat(self, host: str, state: WorkerState = WorkerState.READY) -> None:
-        """Have a worker say what it is now."""
+        """Send a worker's heartbeat to its sidecar."""
         registration = Registration(
             id=f"w-{host}",
             incarnation=self.worker_incarnations[host],
@@ -464,109 +466,117 @@
             self.send_heartbeat(process.host)
         self.at(ms(1500), lambda: self._send_heartbeats(process))
 
-    def _order(self, process: Process, order: Any) -> None:
+    def _send_command(self, process: Process, command: Any) -> None:
         host = process.host
         if not process.alive:
             return
-        fate = self.delivery(host, order)
-        if fate is not None:
-            self._exchange(process, order, fate)
+        delivery = self.delivery(host, command)
+        if delivery is not None:
+            self._exchange(process, command, delivery)
             return
         chance = self.random.random()
-        is_deaf = isinstance(order, StopCommand) and host in self.hosts_ignoring_stops
+        is_deaf = isinstance(command, StopCommand) and host in self.hosts_ignoring_stops
         if is_deaf or host in self.silent_workers or chance < self.lost_share:
-            self._unanswered(process, order)
+            self._unanswered(process, command)
             return
         if chance < self.lost_share + self.late_share:
             delay = ms(self.random.uniform(2000, 12000))
             worker = self.workers[host]
-            self.at(delay, lambda: self._carry_out_late(host, worker, order))
-            self._unanswered(process, order)
+            self.at(delay, lambda: self._carry_out_late(host, worker, command))
+            self._unanswered(process, command)
             return
-        if isinstance(order, RenewCommand):
-            self._hold(process, order, self.now)
+        if isinstance(command, RenewCommand):
+            self._renew(process, command, self.now)
             return
-        if isinstance(order, StartCommand) and self.delay_starts > 0:
+        if isinstance(command, StartCommand) and self.delay_starts > 0:
             self.delay_starts -= 1
             delay = COMMAND_TIMEOUT + ms(0.5)
-            self.at(delay, lambda: self._carry_out(host, self.workers[host], order))
-            self._unanswered(process, order)
+            self.at(delay, lambda: self._carry_out(host, self.workers[host], command))
+            self._unanswered(process, command)
             return
         worker = self.workers[host]
-        result = self._carry_out(host, worker, order)
-        loses = isinstance(order, StartCommand) and self.lose_start_answers > 0
+        result = self._carry_out(host, worker, command)
+        loses = isinstance(command, StartCommand) and self.lose_start_answers > 0
         self.lose_start_answers -= loses
         if loses or self.random.random() < self.lost_share:
-            self._unanswered(process, order)
+            self._unanswered(process, command)
             return
         kind = (
-            CommandKind.START if isinstance(order, StartCommand) else CommandKind.STOP
+            CommandKind.START if isinstance(command, StartCommand) else CommandKind.STOP
         )
         clock = self.worker_clock(host)
-        event = CommandAnswered(kind, order.run, result, clock, self.now)
+        event = CommandAnswered(kind, command.run, result, clock, self.now)
         self.at(ONE_WAY, lambda: self.post(process, event))
 
-    def _carry_out(self, host: str, worker: FakeWorker, order: Any) -> CommandResult:
+    def _carry_out(self, host: str, worker: FakeWorker, command: Any) -> CommandResult:
         clock = self.worker_clock(host)
-        if isinstance(order, StartCommand):
-            return worker.start(order, clock)
-        return worker.stop(order, clock)
+        if isinstance(command, StartCommand):
+            return worker.start(command, clock)
+        return worker.stop(command, clock)
 
-    def _carry_out_late(self, host: str, worker: FakeWorker, order: Any) -> None:
-        if worker is self.workers[host] and not isinstance(order, RenewCommand):
-            self._carry_out(host, worker, order)
+    def _carry_out_late(self, host: str, worker: FakeWorker, command: Any) -> None:
+        if worker is self.workers[host] and not isinstance(command, RenewCommand):
+            self._carry_out(host, worker, command)
 
-    def _unanswered(self, process: Process, order: Any) -> None:
-        event = _unanswered_event(order)
-        delay = _wait_of(order) + COMMAND_TIMEOUT
+    def _unanswered(self, process: Process, command: Any) -> None:
+        event = _unanswered_event(command)
+        delay = _wait_of(command) + COMMAND_TIMEOUT
         self.at(delay, lambda: self.post(process, event))
 
-    def _exchange(self, process: Process, order: Any, fate: Delivery) -> None:
-        """Carry an order and its answer on a connection of their own."""
-        exchange = Exchange(process, order, self.now)
+    def _exchange(self, process: Process, command: Any, delivery: Delivery) -> None:
+        """Carry a command and its answer on a connection of their own."""
+        exchange = Exchange(process, command, self.now)
         worker = self.workers[process.host]
-        patience = _wait_of(order) + fate.given_up
-        self.at(patience, lambda: self._close(exchange, _unanswered_event(order)))
-        if fate.arrives is not None:
-            self.at(fate.arrives, lambda: self._arrive(exchange, worker, fate))
+        timeout = _wait_of(command) + delivery.timeout
+        self.at(timeout, lambda: self._close(exchange, _unanswered_event(command)))
+        if delivery.arrival_delay is not None:
+            self.at(
+                delivery.arrival_delay, lambda: self._arrive(exchange, worker, delivery)
+            )
 
-    def _arrive(self, exchange: Exchange, worker: FakeWorker, fate: Delivery) -> None:
-        host, order = exchange.process.host, exchange.order
+    def _arrive(
+        self, exchange: Exchange, worker: FakeWorker, delivery: Delivery
+    ) -> None:
+        host, command = exchange.process.host, exchange.command
         if worker is not self.workers[host]:
             return
         clock = self.worker_clock(host)
-        if not isinstance(order, RenewCommand):
-            result = self._carry_out(host, worker, order)
+        if not isinstance(command, RenewCommand):
+            result = self._carry_out(host, worker, command)
             kind = (
                 CommandKind.START
-                if isinstance(order, StartCommand)
+                if isinstance(command, StartCommand)
                 else CommandKind.STOP
             )
             sent = exchange.sent
-            event = CommandAnswered(kind, order.run, result, clock, sent)
-            self._return(exchange, fate, event)
+            event = CommandAnswered(kind, command.run, result, clock, sent)
+            self._return(exchange, delivery, event)
             return
-        result = worker.hold(order, clock)
+        result = worker.hold(command, clock)
         if result is CommandResult.ACCEPTED:
-            self._list(exchange, worker, fate, self.now)
+            self._list(exchange, worker, delivery, self.now)
         else:
             failed = RenewalFailed(
-                result, clock, order.is_extra, order.token, order.number
+                result, clock, command.is_extra, command.token, command.number
             )
-            self._return(exchange, fate, failed)
+            self._return(exchange, delivery, failed)
 
     def _list(
-        self, exchange: Exchange, worker: FakeWorker, fate: Delivery, arrived: datetime
+        self,
+        exchange: Exchange,
+        worker: FakeWorker,
+        delivery: Delivery,
+        arrived: datetime,
     ) -> None:
-        """Make the answer to a hold when there is an end, or the wait is over."""
-        host, order = exchange.process.host, exchange.order
+        """Answer a renewal when there is an end, or its wait is over."""
+        host, command = exchange.process.host, exchange.command
         if worker is not self.workers[host]:
             return
         clock = self.worker_clock(host)
         worker.advance(clock)
-        ended = tuple(end for end in worker.ended if end.number > order.last_seen)
-        if not ended and self.now - arrived < order.wait:
-            self.at(ms(5), lambda: self._list(exchange, worker, fate, arrived))
+        ended = tuple(end for end in worker.ended if end.number > command.last_seen)
+        if not ended and self.now - arrived < command.wait:
+            self.at(ms(5), lambda: self._list(exchange, worker, delivery, arrived))
             return
         listed = worker.listed(clock)
         born = self.worker_incarnations[host]
@@ -576,65 +586,76 @@
             born,
             listed,
             ended,
-            order.is_extra,
-            order.token,
-            order.number,
+            command.is_extra,
+            command.token,
+            command.number,
         )
-        self._return(exchange, fate, event)
+        self._return(exchange, delivery, event)
 
-    def _return(self, exchange: Exchange, fate: Delivery, event: Any) -> None:
-        if fate.returns is not None:
-            self.at(fate.returns, lambda: self._close(exchange, event))
+    def _return(self, exchange: Exchange, delivery: Delivery, event: Any) -> None:
+        if delivery.answer_delay is not None:
+            self.at(delivery.answer_delay, lambda: self._close(exchange, event))
 
     def _close(self, exchange: Exchange, event: Any) -> None:
-        """Hand over the answer, or that there is none; whichever comes first."""
+        """Post the answer or the timeout, whichever comes first."""
         if exchange.is_open:
             exchange.is_open = False
             self.post(exchange.process, event)
 
-    def _hold(self, process: Process, order: RenewCommand, sent: datetime) -> None:
+    def _renew(self, process: Process, command: RenewCommand, sent: datetime) -> None:
         host = process.host
         worker = self.workers[host]
-        result = worker.hold(order, self.worker_clock(host))
+        result = worker.hold(command, self.worker_clock(host))
         if result is not CommandResult.ACCEPTED:
             clock = self.worker_clock(host)
             event = RenewalFailed(
-                result, clock, order.is_extra, order.token, order.number
+                result, clock, command.is_extra, command.token, command.number
             )
             self.at(ONE_WAY, lambda: self.post(process, event))
             return
-        self._answer_hold(process, worker, order, sent)
+        self._answer_renew(process, worker, command, sent)
 
-    def _answer_hold(
-        self, process: Process, worker: FakeWorker, order: RenewCommand, sent: datetime
+    def _answer_renew(
+        self,
+        process: Process,
+        worker: FakeWorker,
+        command: RenewCommand,
+        sent: datetime,
     ) -> None:
-        """Answer when there is an end, or when the wait is over."""
+        """Answer a renewal when there is an end, or its wait is over."""
         host = process.host
         if worker is not self.workers[host]:
             failed = RenewalFailed(
                 CommandResult.UNANSWERED,
                 None,
-                order.is_extra,
-                order.token,
-                order.number,
+                command.is_extra,
+                command.token,
+                command.number,
             )
             self.post(process, failed)
             return
         clock = self.worker_clock(host)
         worker.advance(clock)
-        ended = tuple(end for end in worker.ended if end.number > order.last_seen)
-        if not ended and self.now - sent < order.wait:
+        ended = tuple(end for end in worker.ended if end.number > command.last_seen)
+        if not ended and self.now - sent < command.wait:
             again = ms(5)
-            self.at(again, lambda: self._answer_hold(process, worker, order, sent))
+            self.at(again, lambda: self._answer_renew(process, worker, command, sent))
             return
         listed = worker.listed(clock)
         born = self.worker_incarnations[host]
         event = RenewalAnswered(
-            sent, clock, born, listed, ended, order.is_extra, order.token, order.number
+            sent,
+            clock,
+            born,
+            listed,
+            ended,
+            command.is_extra,
+            command.token,
+            command.number,
         )
         self.at(ONE_WAY, lambda: self.post(process, event))
 
-    # Promises
+    # Invariants
 
     def _check(self) -> None:
         at_work: dict[Any, str] = {}
@@ -651,7 +672,7 @@
                 at_work[run.task] = host
 
     def starts_of(self, job_id: str) -> list[RunId]:
-        """Return every start of a job's tasks, on all workers that were."""
+        """Return every start of a job's tasks, on all incarnations of workers."""
         return [
             run
             for worker in self.all_workers
@@ -660,14 +681,18 @@
         ]
 
 
-def _wait_of(order: Any) -> timedelta:
-    return order.wait if isinstance(order, RenewCommand) else ZERO
+def _wait_of(command: Any) -> timedelta:
+    return command.wait if isinstance(command, RenewCommand) else ZERO
 
 
-def _unanswered_event(order: Any) -> RenewalFailed | CommandAnswered:
-    if isinstance(order, RenewCommand):
+def _unanswered_event(command: Any) -> RenewalFailed | CommandAnswered:
+    if isinstance(command, RenewCommand):
         return RenewalFailed(
-            CommandResult.UNANSWERED, None, order.is_extra, order.token, order.number
+            CommandResult.UNANSWERED,
+            None,
+            command.is_extra,
+            command.token,
+            command.number,
         )
-    kind = CommandKind.START if isinstance(order, StartCommand) else CommandKind.STOP
-    return CommandAnswered(kind, order.run, CommandResult.UNANSWERED)
+    kind = CommandKind.START if isinstance(command, StartCommand) else CommandKind.STOP
+    return CommandAnswered(kind, command.run, CommandResult.UNANSWERED)
