--- a/gypsumspoke/core/table_reads.py
+++ b/gypsumspoke/core/table_reads.py
@@ -12,7 +12,7 @@
 from gypsumspoke.core.rows import MEMBERS_PREFIX
 from gypsumspoke.core.values import Role
 
-NAME = "membership"
+REQUEST_PREFIX = "membership"
 ENTRY_READ_INTERVAL = timedelta(seconds=3)
 MIN_RETRY_DELAY = timedelta(milliseconds=500)
 MAX_RETRY_DELAY = timedelta(seconds=8)
@@ -22,7 +22,7 @@
 def new_request(state: MembershipState, purpose: str, now: datetime) -> Pending:
     """Return a request to the table with a unique id that includes its purpose."""
     state.sequence += 1
-    return Pending(f"{NAME}:{purpose}:{state.sequence}", now)
+    return Pending(f"{REQUEST_PREFIX}:{purpose}:{state.sequence}", now)
 
 
 def schedule_read(state: MembershipState, prefix: str, at: datetime) -> None:
--- a/tests/core/test_promises.py
+++ b/tests/core/test_promises.py
@@ -1,9 +1,9 @@
-"""The promises under arbitrary histories, against a naive version.
+"""Stateful tests of the system's guarantees against a reference model.
 
-The naive version is one process with one dictionary and no faults: it starts each task
-of a key once and answers from the dictionary. Whatever happens, the system may do less
-than that (refuse, fail, not know) but never something else. Each history ends without
-faults, and then a new job must be served: what was lost must not stop the system.
+The model is one process with one dictionary and no faults: it starts each task of a key
+once and answers from the dictionary. The system may refuse, fail or answer "unknown",
+but never contradict the model. Each history ends without faults, and a new job must
+then be served.
 
 A long run with fresh seeds: ``HYPOTHESIS_PROFILE=search pytest
 tests/core/test_promises.py``.
@@ -33,7 +33,7 @@
 HALF_SKEW = 0.45
 
 
-class NaiveVersion:
+class ReferenceModel:
     """One process, one dictionary, no faults."""
 
     def __init__(self):
@@ -57,7 +57,7 @@
             node.offset = timedelta(seconds=offset * HALF_SKEW)
         self.system.run(3)
         self.system.hold_upstreams = True
-        self.naive = NaiveVersion()
+        self.model = ReferenceModel()
         self.submissions = []
         self.versions = {}
 
@@ -109,28 +109,28 @@
 
     # -- messages and time
 
-    @precondition(lambda self: self.system.flights)
+    @precondition(lambda self: self.system.in_transit)
     @rule(place=INDEXES)
     def deliver(self, place):
-        self.system.deliver(place % len(self.system.flights))
+        self.system.deliver(place % len(self.system.in_transit))
 
-    @precondition(lambda self: self.system.flights)
+    @precondition(lambda self: self.system.in_transit)
     @rule()
     def deliver_all(self):
         self.system.deliver_all()
 
-    @precondition(lambda self: self.system.flights)
+    @precondition(lambda self: self.system.in_transit)
     @rule(place=INDEXES)
     def repeat(self, place):
-        flight = self.system.flights[place % len(self.system.flights)]
+        flight = self.system.in_transit[place % len(self.system.in_transit)]
         if not isinstance(flight.message, JobAnswer):
-            self.system.flights.append(flight)
+            self.system.in_transit.append(flight)
 
     @precondition(lambda self: self.system.links)
     @rule(place=INDEXES)
     def lose_connection(self, place):
         links = sorted(self.system.links, key=sorted)
-        self.system.lose_connection(links[place % len(links)])
+        self.system.drop_connection(links[place % len(links)])
 
     @rule(ticks=st.integers(1, 30), delivers=st.booleans())
     def pass_time(self, ticks, delivers):
@@ -159,7 +159,7 @@
     def finish_all_tasks(self):
         self.system.finish_upstreams()
 
-    # -- what faults are usually followed by
+    # -- combinations that follow faults
 
     @rule(count=st.integers(2, 4))
     def submit_some(self, count):
@@ -204,7 +204,7 @@
             if node.paused:
                 if forgets:
                     node.backlog.clear()
-                self.system.wake(name)
+                self.system.resume(name)
 
     # -- faults
 
@@ -237,7 +237,7 @@
 
     @rule(index=INDEXES)
     def replace_a_paused_one(self, index):
-        """The platform gives up a paused worker and starts its replacement."""
+        """Start a replacement for a paused worker, as the platform does."""
         workers = [
             worker
             for worker in sorted(self.system.incarnations)
@@ -258,7 +258,7 @@
         if name is not None:
             if forgets:
                 self.system.nodes[name].backlog.clear()
-            self.system.wake(name)
+            self.system.resume(name)
 
     @rule(index=INDEXES)
     def drain(self, index):
@@ -275,14 +275,14 @@
 
     @rule()
     def heal(self):
-        self.system.heal()
+        self.system.restore_links()
 
     @rule(is_down=st.booleans(), lost=st.integers(0, 2))
     def change_the_table(self, is_down, lost):
         self.system.table.is_down = is_down
         self.system.table.answers_to_lose = lost
 
-    # -- what must always hold
+    # -- invariants
 
     @invariant()
     def no_task_starts_twice(self):
@@ -292,24 +292,24 @@
 
     @invariant()
     def what_was_not_run_never_ran(self):
-        for told in getattr(self, "system", System(workers=0)).told:
-            if told.answer.work is not Work.NOT_RUN or told.attempt < 0:
+        for delivered in getattr(self, "system", System(workers=0)).delivered:
+            if delivered.answer.work is not Work.NOT_RUN or delivered.attempt < 0:
                 continue
             for start in self.system.started:
-                if start.key == told.key:
-                    assert start.submission_attempt > told.attempt, told
+                if start.key == delivered.key:
+                    assert start.submission_attempt > delivered.attempt, delivered
 
     @invariant()
     def each_answer_is_whole_and_its_own(self):
         expected = {
-            submission.key: self.naive.submit(submission)
+            submission.key: self.model.submit(submission)
             for submission in getattr(self, "submissions", ())
         }
-        for told in getattr(self, "system", System(workers=0)).told:
-            if told.answer.kind is None:
-                assert told.answer.results == expected[told.key]
+        for delivered in getattr(self, "system", System(workers=0)).delivered:
+            if delivered.answer.kind is None:
+                assert delivered.answer.results == expected[delivered.key]
             else:
-                assert told.answer.results == ()
+                assert delivered.answer.results == ()
 
     @invariant()
     def no_configuration_reverts(self):
@@ -327,15 +327,15 @@
                 self.system.join(worker)
 
     def teardown(self):
-        """After the faults a new job is served, and old ones still not twice."""
+        """After the faults a new job is served, and no old task starts twice."""
         if not hasattr(self, "submissions"):
             return
         system = self.system
-        system.heal()
+        system.restore_links()
         system.table.is_down = False
         for name, node in list(system.nodes.items()):
             if node.paused:
-                system.wake(name)
+                system.resume(name)
         system.hold_upstreams = False
         system.run(8)
         self._replace_all()
--- a/tests/runs/test_budget.py
+++ b/tests/runs/test_budget.py
@@ -13,7 +13,7 @@
     budget_for,
 )
 from gypsumspoke.runs.values import JobEnd
-from tests.runs.walk import CutOffWalk, Walk
+from tests.runs.walk import IsolationWalk, Walk
 from tests.runs.world import World, job, ms
 
 EARLY = budget_for(DEFAULT_BOUNDS._replace(resend=ms(700))).unwrap()
@@ -50,7 +50,7 @@
 def test_walks_violate_nothing_where_callers_resubmit_early(seed, budget):
     """No task runs twice at once under faults, also where callers resubmit early."""
     assert Walk(seed, budget).play() == []
-    assert CutOffWalk(seed, budget).play() == []
+    assert IsolationWalk(seed, budget).play() == []
 
 
 def test_a_deployment_whose_callers_resubmit_early_is_served():
