--- a/tests/runs/test_fencing.py
+++ b/tests/runs/test_fencing.py
@@ -54,6 +54,6 @@
     effects = sidecar.handle_list(
         ms(50), sent_at=ms(40), listed_at=ms(4), incarnation=INCARNATION + 1
     )
-    (hold,) = [effect for effect in effects if isinstance(effect, RenewCommand)]
-    assert hold.token > before
+    (renewal,) = [effect for effect in effects if isinstance(effect, RenewCommand)]
+    assert renewal.token > before
     assert not is_clean(sidecar, ms(51))
--- a/tests/runs/test_lease.py
+++ b/tests/runs/test_lease.py
@@ -43,11 +43,11 @@
     place(sidecar)
     accepted = CommandAnswered(CommandKind.START, RUN, CommandResult.ACCEPTED, PLACED)
     sidecar.handle(PLACED + ms(1), accepted)
-    told: list[RunEnded] = []
+    reported: list[RunEnded] = []
     dead = PLACED + DEFAULT_BUDGET.lease_on_slow_clock + DEFAULT_BUDGET.bounds.stop
     for at in (dead - ms(40), dead - ms(1)):
         sidecar.handle(at, Received(ENTRY, Pulse(at)))
-        told += ends(sidecar.handle(at, Tick()))
-    assert told == []
+        reported += ends(sidecar.handle(at, Tick()))
+    assert reported == []
     (end,) = ends(sidecar.handle(dead + ms(1), Tick()))
     assert end.run == RUN
--- a/tests/runs/worker.py
+++ b/tests/runs/worker.py
@@ -103,7 +103,7 @@
             self.stopping[command.run] = (running, clock + STOP_DURATION)
         return CommandResult.ACCEPTED
 
-    def hold(self, command: RenewCommand, clock: timedelta) -> CommandResult:
+    def renew(self, command: RenewCommand, clock: timedelta) -> CommandResult:
         """Extend the lease and drop the ends that were processed."""
         self.advance(clock)
         if command.token < self.token:
--- a/tests/runs/world.py
+++ b/tests/runs/world.py
@@ -552,7 +552,7 @@
             event = CommandAnswered(kind, command.run, result, clock, sent)
             self._return(exchange, delivery, event)
             return
-        result = worker.hold(command, clock)
+        result = worker.renew(command, clock)
         if result is CommandResult.ACCEPTED:
             self._list(exchange, worker, delivery, self.now)
         else:
@@ -579,11 +579,11 @@
             self.at(ms(5), lambda: self._list(exchange, worker, delivery, arrived))
             return
         listed = worker.listed(clock)
-        born = self.worker_incarnations[host]
+        incarnation = self.worker_incarnations[host]
         event = RenewalAnswered(
             exchange.sent,
             clock,
-            born,
+            incarnation,
             listed,
             ended,
             command.is_extra,
@@ -605,7 +605,7 @@
     def _renew(self, process: Process, command: RenewCommand, sent: datetime) -> None:
         host = process.host
         worker = self.workers[host]
-        result = worker.hold(command, self.worker_clock(host))
+        result = worker.renew(command, self.worker_clock(host))
         if result is not CommandResult.ACCEPTED:
             clock = self.worker_clock(host)
             event = RenewalFailed(
@@ -642,11 +642,11 @@
             self.at(again, lambda: self._answer_renew(process, worker, command, sent))
             return
         listed = worker.listed(clock)
-        born = self.worker_incarnations[host]
+        incarnation = self.worker_incarnations[host]
         event = RenewalAnswered(
             sent,
             clock,
-            born,
+            incarnation,
             listed,
             ended,
             command.is_extra,
--- a/tests/standins/platform_worker.py
+++ b/tests/standins/platform_worker.py
@@ -162,7 +162,7 @@
             body.get("wait_ms", 0) * _MILLISECOND,
             body.get("fencing_token", 0),
         )
-        result = self.worker.hold(order, self._clock())
+        result = self.worker.renew(order, self._clock())
         if result is not CommandResult.ACCEPTED:
             return self._ordinary(result)
         end = time.monotonic() + order.wait.total_seconds()
