--- a/gypsumspoke/platform/callers.py
+++ b/gypsumspoke/platform/callers.py
@@ -24,7 +24,7 @@
 )
 from gypsumspoke.runs.values import JobEnd, RefusalReason, Route
 from gypsumspoke.shell.caller_server import SOCKET_KEY
-from gypsumspoke.shell.departure import departure, is_closed
+from gypsumspoke.shell.disconnects import is_closed, watch_disconnect
 from gypsumspoke.shell.http_answers import (
     Environ,
     HttpAnswer,
@@ -172,7 +172,7 @@
         try:
             deadline = self._clock.now() + patience
             self._post(JobArrived(request, parsed.unwrap(), route, deadline))
-            with departure(
+            with watch_disconnect(
                 environ[SOCKET_KEY],
                 lambda: self._post(JobCallerLeft(request)),
             ):
--- a/gypsumspoke/shell/caller_server.py
+++ b/gypsumspoke/shell/caller_server.py
@@ -26,10 +26,10 @@
 # From the end of a request's first line to the end of its header, where no
 # configuration says otherwise: a header comes in one packet or two.
 HEADER_TIMEOUT = timedelta(seconds=10)
-DISCARD_LIMIT = 16 * 1024 * 1024
-DISCARD_SECONDS = 5.0
-STOP_SECONDS = 5.0
-_DISCARD_STEP = 16 * 1024
+MAX_DISCARDED_BYTES = 16 * 1024 * 1024
+DISCARD_TIMEOUT_SECONDS = 5.0
+STOP_TIMEOUT_SECONDS = 5.0
+_DISCARD_CHUNK_BYTES = 16 * 1024
 
 
 class CallerServer:
@@ -59,7 +59,7 @@
             error_log=logging.getLogger("gypsumspoke.callers"),
             environ=server_environ(host),
         )
-        self._server.busy = _Busy()
+        self._server.active_requests = _ActiveRequests()
         self._server.header_timeout = header_timeout
 
     @property
@@ -78,11 +78,11 @@
     def close(self) -> None:
         """Stop listening, let every answer under way be written, close the rest."""
         self._server.stop_accepting()
-        self._server.busy.wait_idle(STOP_SECONDS)
+        self._server.active_requests.wait_idle(STOP_TIMEOUT_SECONDS)
         self._server.stop(timeout=0)
 
 
-class _Busy:
+class _ActiveRequests:
     """Counts requests whose answer is not fully written."""
 
     def __init__(self) -> None:
@@ -132,7 +132,7 @@
         return environ
 
     def handle_one_response(self) -> None:
-        with self.server.busy:
+        with self.server.active_requests:
             super().handle_one_response()
 
     def run_application(self) -> None:
@@ -147,11 +147,11 @@
         The refusal is written already. Closing with unread bytes would reset the
         connection, and the client would see that instead of the refusal.
         """
-        left = DISCARD_LIMIT
-        with gevent.Timeout(DISCARD_SECONDS, False):
+        left = MAX_DISCARDED_BYTES
+        with gevent.Timeout(DISCARD_TIMEOUT_SECONDS, False):
             try:
                 while left > 0:
-                    piece = self.wsgi_input.read(_DISCARD_STEP)
+                    piece = self.wsgi_input.read(_DISCARD_CHUNK_BYTES)
                     if not piece:
                         return True
                     left -= len(piece)
--- a/gypsumspoke/shell/departure.py
+++ b/gypsumspoke/shell/disconnects.py
@@ -11,7 +11,7 @@
 
 
 @contextmanager
-def departure(sock: socket, on_left: Callable[[], None]) -> Iterator[None]:
+def watch_disconnect(sock: socket, on_left: Callable[[], None]) -> Iterator[None]:
     """Call a function once if the caller leaves inside the block.
 
     A watcher costs less than a greenlet for each request, and neither reads what the
--- a/gypsumspoke/shell/entry.py
+++ b/gypsumspoke/shell/entry.py
@@ -17,7 +17,7 @@
 from gypsumspoke.shell.operator_table import OperatorTable
 from gypsumspoke.shell.role import (
     log_listening,
-    open_peer_side,
+    open_peer_context,
     own_member,
     with_addresses,
 )
@@ -27,7 +27,7 @@
 OPERATOR_PREFIX = "/v1/"
 # The reducer ends a stop that takes too long by itself, with an answer to everybody
 # who waits; the runtime's bound is for a reducer that doesn't.
-_REDUCER_STOPS_WITHIN = timedelta(seconds=5)
+_REDUCER_STOP_TIMEOUT = timedelta(seconds=5)
 
 
 def run(settings: Settings, clock: Clock) -> int:
@@ -49,7 +49,7 @@
 
 def _open(settings: Settings, clock: Clock, stack: ExitStack) -> Runtime:
     """Bind the ports and put the parts together; the stack closes them."""
-    identity, links, peer_port, own_metrics = open_peer_side(settings, clock, stack)
+    identity, links, peer_port, own_metrics = open_peer_context(settings, clock, stack)
     # The admin port must be bound before the member, and so the state, is known.
     # Nothing is served until the loop runs, and by then state and runtime are there.
     operators = _open_operators(
@@ -83,7 +83,7 @@
         clock,
         links,
         table,
-        drain_timeout=settings.drain_timeout + _REDUCER_STOPS_WITHIN,
+        drain_timeout=settings.drain_timeout + _REDUCER_STOP_TIMEOUT,
         is_draining=lambda: entry_role.is_draining(state),
     )
     metrics.install(runtime, own_metrics)
@@ -128,7 +128,7 @@
         clock,
         is_draining=lambda: entry_role.is_draining(state),
     )
-    runtime.handle(Deliver, application.deliver)
+    runtime.add_handler(Deliver, application.deliver)
     server = CallerServer(settings.host, settings.http_port, application)
     server.start()
     return server
--- a/gypsumspoke/shell/entry_http.py
+++ b/gypsumspoke/shell/entry_http.py
@@ -41,7 +41,7 @@
 
 JOBS_PATH = "/v1/jobs"
 # The reducer answers every request by its deadline; this only guards against a fault.
-_ANSWER_SLACK = timedelta(seconds=10)
+_ANSWER_MARGIN = timedelta(seconds=10)
 
 _log = logging.getLogger(__name__)
 
@@ -120,7 +120,7 @@
         request, result = self._waiters.open()
         try:
             self._post(event_for(request))
-            limit = max(patience, timedelta(0)) + _ANSWER_SLACK
+            limit = max(patience, timedelta(0)) + _ANSWER_MARGIN
             return result.get(timeout=limit.total_seconds())
         except gevent.Timeout:
             details = {"request": request}
--- a/gypsumspoke/shell/http_exchange.py
+++ b/gypsumspoke/shell/http_exchange.py
@@ -41,12 +41,12 @@
     Attributes:
       connect_timeout: bound on making the connection.
       answer_timeout: bound from then until the whole answer is here.
-      answer_bytes: most bytes of the answer's body.
+      max_answer_bytes: bound on the size of the answer's body.
     """
 
     connect_timeout: timedelta
     answer_timeout: timedelta
-    answer_bytes: int
+    max_answer_bytes: int
 
 
 class HttpAnswer(NamedTuple):
@@ -123,7 +123,7 @@
         with gevent.Timeout(limits.answer_timeout.total_seconds()):
             sock.sendall(request)
             response = HTTPSocketResponse(sock, block_size=_READ_BYTES, method="POST")
-            return read_response(response, limits.answer_bytes)
+            return read_response(response, limits.max_answer_bytes)
     except gevent.Timeout:
         return Failure(ExchangeError.TIMEOUT)
     except (OSError, HTTPParseError, ValueError):
--- a/gypsumspoke/shell/http_servers.py
+++ b/gypsumspoke/shell/http_servers.py
@@ -17,10 +17,10 @@
 from gypsumspoke.shell.early_listeners import EarlyListeners
 
 # Readiness checks come once a second, heartbeats each second or two.
-_SMALL_SERVER_CONNECTIONS = 32
+_MAX_CONNECTIONS = 32
 
 
-def open_small_server(
+def open_http_server(
     address: Address,
     application: Application,
     listeners: EarlyListeners,
@@ -40,7 +40,7 @@
     server = WSGIServer(
         listeners.take(address) or address,
         application,
-        spawn=Pool(_SMALL_SERVER_CONNECTIONS),
+        spawn=Pool(_MAX_CONNECTIONS),
         handler_class=IdleClosingHandler,
         log=None,
         error_log=logging.getLogger("gypsumspoke.http"),
--- a/gypsumspoke/shell/keep_alive.py
+++ b/gypsumspoke/shell/keep_alive.py
@@ -24,7 +24,7 @@
 from gypsumspoke.shell.http_parser import HTTPParseError, HTTPSocketResponse
 
 # Connections kept open to one address; more requests at once open more and close them.
-KEPT_CONNECTIONS = 8
+MAX_IDLE_CONNECTIONS = 8
 _READ_BYTES = 64 * 1024
 
 
@@ -49,15 +49,18 @@
     Args:
       address: IP number and port.
       connect_timeout: bound on making a connection.
-      answer_bytes: most bytes of an answer's body.
+      max_answer_bytes: bound on the size of the answer's body.
     """
 
     def __init__(
-        self, address: tuple[str, int], connect_timeout: timedelta, answer_bytes: int
+        self,
+        address: tuple[str, int],
+        connect_timeout: timedelta,
+        max_answer_bytes: int,
     ) -> None:
         self._address = address
         self._connect_timeout = connect_timeout
-        self._answer_bytes = answer_bytes
+        self._max_answer_bytes = max_answer_bytes
         self._idle: deque[socket] = deque()
 
     def close(self) -> None:
@@ -85,7 +88,7 @@
             answer, keep = self._exchange(sock, request, within)
             return answer
         finally:
-            if keep and len(self._idle) < KEPT_CONNECTIONS:
+            if keep and len(self._idle) < MAX_IDLE_CONNECTIONS:
                 self._idle.append(sock)
             else:
                 sock.close()
@@ -128,7 +131,7 @@
                 response = HTTPSocketResponse(
                     sock, block_size=_READ_BYTES, method=request.method
                 )
-                answer = read_response(response, self._answer_bytes)
+                answer = read_response(response, self._max_answer_bytes)
                 keep = response.message_complete and not response.should_close()
                 return answer, keep
         except gevent.Timeout:
--- a/gypsumspoke/shell/metrics.py
+++ b/gypsumspoke/shell/metrics.py
@@ -228,6 +228,6 @@
       runtime: has ``handle(effect_type, callable)``.
       metrics: takes counts and observations.
     """
-    runtime.handle(Count, metrics.count)
-    runtime.handle(Observe, metrics.observe)
-    runtime.handle(Log, log)
+    runtime.add_handler(Count, metrics.count)
+    runtime.add_handler(Observe, metrics.observe)
+    runtime.add_handler(Log, log)
--- a/gypsumspoke/shell/role.py
+++ b/gypsumspoke/shell/role.py
@@ -36,7 +36,7 @@
     seed: int
 
 
-class PeerSide(NamedTuple):
+class PeerContext(NamedTuple):
     """What a process opens towards its peers before it is anything else.
 
     Attributes:
@@ -52,7 +52,9 @@
     metrics: Metrics
 
 
-def open_peer_side(settings: Settings, clock: Clock, stack: ExitStack) -> PeerSide:
+def open_peer_context(
+    settings: Settings, clock: Clock, stack: ExitStack
+) -> PeerContext:
     """Draw an identity and listen for peers.
 
     Args:
@@ -68,7 +70,7 @@
     peer_port = links.listen(settings.host, settings.peer_port)
     metrics = Metrics(settings.role.value, settings.worker)
     show_links(metrics, links)
-    return PeerSide(identity, links, peer_port, metrics)
+    return PeerContext(identity, links, peer_port, metrics)
 
 
 def new_identity(settings: Settings) -> Identity:
--- a/gypsumspoke/shell/run_entry.py
+++ b/gypsumspoke/shell/run_entry.py
@@ -21,10 +21,10 @@
 from gypsumspoke.runs.values import Configuration
 from gypsumspoke.shell.caller_server import HEADER_TIMEOUT, CallerServer
 from gypsumspoke.shell.early_listeners import EarlyListeners
-from gypsumspoke.shell.http_servers import open_metrics, open_small_server
+from gypsumspoke.shell.http_servers import open_http_server, open_metrics
 from gypsumspoke.shell.run_role import (
     StorePort,
-    open_run_side,
+    open_run_context,
     open_runtime,
     run_until_stopped,
 )
@@ -79,7 +79,7 @@
       OSError: a port can't be bound.
     """
     with ExitStack() as stack:
-        side = open_run_side(settings, "entry", clock, listeners, stack)
+        context = open_run_context(settings, "entry", clock, listeners, stack)
         own_address = address_text(settings.peers)
         state = CoordinatorState(
             adapter.parse_configuration,
@@ -89,15 +89,17 @@
             settings.remote_slowdown,
         )
         runtime = open_runtime(
-            settings, side, coordinator.handle_event, state, clock, in_turns=True
+            settings, context, coordinator.handle_event, state, clock, in_turns=True
         )
-        callers = adapter.open_callers(runtime.post, side.metrics.count, clock, state)
-        runtime.handle(AnswerJob, callers.deliver)
-        runtime.handle(FirstConfiguration, callers.note_configured)
+        callers = adapter.open_callers(
+            runtime.post, context.metrics.count, clock, state
+        )
+        runtime.add_handler(AnswerJob, callers.deliver)
+        runtime.add_handler(FirstConfiguration, callers.note_configured)
         is_ready = partial(_is_ready, state, clock)
-        open_metrics(settings.metrics, side.metrics, is_ready, stack)
+        open_metrics(settings.metrics, context.metrics, is_ready, stack)
         readiness = adapter.readiness(is_ready)
-        open_small_server(settings.readiness, readiness, listeners, stack)
+        open_http_server(settings.readiness, readiness, listeners, stack)
         header_timeout = partial(_header_timeout, state)
         listener = listeners.take(settings.callers)
         server = CallerServer(*settings.callers, callers, header_timeout, listener)
@@ -105,9 +107,14 @@
         server.start()
         stack.callback(callers.give_up_all)
         store = adapter.open_store(settings, runtime.post)
-        runtime.handle(StoreCallerTimeouts, store.keep_patience)
+        runtime.add_handler(StoreCallerTimeouts, store.keep_patience)
         return run_until_stopped(
-            runtime, side, store, state.directory.to_dial, adapter.settings_file, stack
+            runtime,
+            context,
+            store,
+            state.directory.to_dial,
+            adapter.settings_file,
+            stack,
         )
 
 
--- a/gypsumspoke/shell/run_role.py
+++ b/gypsumspoke/shell/run_role.py
@@ -25,11 +25,11 @@
 
 # Reports and pulses pass several times a second, so a connection without bytes for this
 # long is dead; a new one is made before the entry's runs would be stopped for good.
-SILENCE_LIMIT = timedelta(milliseconds=750)
+MAX_SILENCE = timedelta(milliseconds=750)
 # Best-effort jobs have no homes; a process that has some is refused as a peer.
 _PARTITIONS = 0
 # The reducers end a stop by themselves; this bounds one that does not.
-_BEFORE_KILL = timedelta(milliseconds=300)
+_KILL_MARGIN = timedelta(milliseconds=300)
 
 _log = logging.getLogger(__name__)
 
@@ -44,7 +44,7 @@
         """Stop."""
 
 
-class RunSide(NamedTuple):
+class RunContext(NamedTuple):
     """Peers and metrics of one process.
 
     Attributes:
@@ -60,13 +60,13 @@
     metrics: LateMetrics
 
 
-def open_run_side(
+def open_run_context(
     settings: RunSettings,
     role: str,
     clock: Clock,
     listeners: EarlyListeners,
     stack: ExitStack,
-) -> RunSide:
+) -> RunContext:
     """Draw an identity and listen for peers, if the role does.
 
     Args:
@@ -83,18 +83,18 @@
     incarnation = f"{settings.instance}-{os.urandom(8).hex()}"
     seed = int.from_bytes(os.urandom(8), "big")
     hello = Hello(PROTOCOL_VERSION, incarnation, settings.instance, _PARTITIONS)
-    links = stack.enter_context(closing(PeerLinks(hello, clock, seed, SILENCE_LIMIT)))
+    links = stack.enter_context(closing(PeerLinks(hello, clock, seed, MAX_SILENCE)))
     if settings.peers is not None:
         links.listen(*settings.peers, listeners.take(settings.peers))
     dialler = stack.enter_context(closing(Dialler(links, clock, seed)))
     metrics = stack.enter_context(closing(LateMetrics(role, settings.instance)))
     show_links(metrics, links)
-    return RunSide(incarnation, links, dialler, metrics)
+    return RunContext(incarnation, links, dialler, metrics)
 
 
 def open_runtime(
     settings: RunSettings,
-    side: RunSide,
+    context: RunContext,
     reduce: Reduce,
     state: Any,
     clock: Clock,
@@ -104,7 +104,7 @@
 
     Args:
       settings: settings of this process.
-      side: peers and metrics.
+      context: peers and metrics.
       reduce: the role's reducer.
       state: its state.
       clock: steady clock.
@@ -114,26 +114,26 @@
         reduce,
         state,
         clock,
-        side.links,
-        drain_timeout=settings.grace - _BEFORE_KILL,
+        context.links,
+        drain_timeout=settings.grace - _KILL_MARGIN,
         ends_on_second_signal=False,
         tick=settings.budget.tick,
         in_turns=in_turns,
     )
-    runtime.handle(Count, side.metrics.count)
-    runtime.handle(Observe, side.metrics.observe)
-    runtime.handle(Log, log)
+    runtime.add_handler(Count, context.metrics.count)
+    runtime.add_handler(Observe, context.metrics.observe)
+    runtime.add_handler(Log, log)
 
     def dial(effect: DialEntries) -> None:
-        side.dialler.set_addresses(map(parse_address, effect.addresses))
+        context.dialler.set_addresses(map(parse_address, effect.addresses))
 
-    runtime.handle(DialEntries, dial)
+    runtime.add_handler(DialEntries, dial)
     return runtime
 
 
 def run_until_stopped(
     runtime: Runtime,
-    side: RunSide,
+    context: RunContext,
     store: StorePort,
     to_dial: tuple[str, ...],
     settings_file: SettingsFile,
@@ -143,7 +143,7 @@
 
     Args:
       runtime: the loop.
-      side: peers.
+      context: peers.
       store: started, and closed with the stack.
       to_dial: entries to connect to at first.
       settings_file: looked at on SIGHUP and every few seconds.
@@ -157,9 +157,9 @@
     watching = gevent.spawn(settings_file.watch, runtime.post)
     stack.callback(watching.kill)
     stack.enter_context(closing(store))
-    side.dialler.set_addresses(map(parse_address, to_dial))
-    side.dialler.start()
+    context.dialler.set_addresses(map(parse_address, to_dial))
+    context.dialler.start()
     store.start()
-    details = {"incarnation": side.incarnation}
+    details = {"incarnation": context.incarnation}
     _log.info({"message": "started", "details": details})
     return runtime.run()
--- a/gypsumspoke/shell/run_sidecar.py
+++ b/gypsumspoke/shell/run_sidecar.py
@@ -13,10 +13,10 @@
 from gypsumspoke.runs.supervisor_state import SupervisorState
 from gypsumspoke.runs.worker_commands import RenewCommand, StartCommand, StopCommand
 from gypsumspoke.shell.early_listeners import EarlyListeners
-from gypsumspoke.shell.http_servers import open_metrics, open_small_server
+from gypsumspoke.shell.http_servers import open_http_server, open_metrics
 from gypsumspoke.shell.run_role import (
     StorePort,
-    open_run_side,
+    open_run_context,
     open_runtime,
     run_until_stopped,
 )
@@ -61,27 +61,32 @@
       OSError: a port can't be bound.
     """
     with ExitStack() as stack:
-        side = open_run_side(settings, "sidecar", clock, listeners, stack)
+        context = open_run_context(settings, "sidecar", clock, listeners, stack)
         state = SupervisorState(
             settings.service,
             Directory("", settings.known_entries),
             clock.now(),
             settings.budget,
         )
-        runtime = open_runtime(settings, side, supervisor.reduce, state, clock)
+        runtime = open_runtime(settings, context, supervisor.reduce, state, clock)
         worker = stack.enter_context(
             closing(adapter.open_worker(settings.worker, runtime.post, clock))
         )
-        runtime.handle(StartCommand, worker.start)
-        runtime.handle(StopCommand, worker.stop)
-        runtime.handle(RenewCommand, worker.hold)
+        runtime.add_handler(StartCommand, worker.start)
+        runtime.add_handler(StopCommand, worker.stop)
+        runtime.add_handler(RenewCommand, worker.hold)
         is_ready = partial(_is_ready, state, clock)
-        open_metrics(settings.metrics, side.metrics, is_ready, stack)
+        open_metrics(settings.metrics, context.metrics, is_ready, stack)
         registration = adapter.registration(runtime.post)
-        open_small_server(settings.registration, registration, listeners, stack)
+        open_http_server(settings.registration, registration, listeners, stack)
         store = adapter.open_store(settings, runtime.post)
         return run_until_stopped(
-            runtime, side, store, state.directory.to_dial, adapter.settings_file, stack
+            runtime,
+            context,
+            store,
+            state.directory.to_dial,
+            adapter.settings_file,
+            stack,
         )
 
 
--- a/gypsumspoke/shell/runtime.py
+++ b/gypsumspoke/shell/runtime.py
@@ -31,10 +31,10 @@
 Reduce = Callable[[Any, Any, datetime], list[Effect]]
 Performer = Callable[[Any], None]
 
-_EVENTS_PER_TURN = 256
+_MAX_EVENTS_PER_TURN = 256
 # Sockets and timers wait for the end of a turn: a few ticks of a slow one, and peers
 # that hear nothing meanwhile close their connections.
-_LONGEST_TURN = timedelta(milliseconds=25)
+_MAX_TURN_TIME = timedelta(milliseconds=25)
 
 _log = logging.getLogger(__name__)
 
@@ -90,7 +90,7 @@
         self._lag = LoopLag(tick, clock.now())
         self._events: deque[tuple[Arrival, Any]] = deque()
         self._pending = Event()
-        self._tick_waits = False
+        self._tick_queued = False
         self._tick_interval = tick
         self._in_turns = in_turns
         self._draining = False
@@ -101,11 +101,11 @@
         self._status: int | None = None
         self._performers: dict[type, list[Performer]] = {
             Send: [self._send],
-            Exit: [self._take_exit],
+            Exit: [self._on_exit],
         }
         if table is not None:
-            self.handle(ReadRows, table.call)
-            self.handle(WriteRows, table.call)
+            self.add_handler(ReadRows, table.call)
+            self.add_handler(WriteRows, table.call)
 
     @property
     def state(self) -> Any:
@@ -117,7 +117,7 @@
         """Whether a graceful stop has begun."""
         return self._draining
 
-    def handle(self, effect_type: type, performer: Performer) -> None:
+    def add_handler(self, effect_type: type, performer: Performer) -> None:
         """Have effects of this type carried out by one more function.
 
         Args:
@@ -140,10 +140,10 @@
             self._stop(EXIT_SECOND_SIGNAL)
             return
         self._draining = True
-        self._bound_drain()
+        self._start_drain_timer()
         self.post(Drain())
 
-    def _bound_drain(self) -> None:
+    def _start_drain_timer(self) -> None:
         """Start the bound on a graceful stop, once."""
         if self._drain_timer is None and self._drain_timeout is not None:
             seconds = self._drain_timeout.total_seconds()
@@ -167,7 +167,7 @@
         try:
             while self._status is None:
                 self._pending.wait()
-                self._take_turn()
+                self._run_turn()
                 if self._events:
                     _poll()
         finally:
@@ -178,11 +178,11 @@
                 self._drain_timer.kill()
         return self._status
 
-    def _take_turn(self) -> None:
+    def _run_turn(self) -> None:
         """Reduce a bounded number of the queued events, for a bounded time."""
-        end = self._clock.now() + _LONGEST_TURN
+        end = self._clock.now() + _MAX_TURN_TIME
         arrival = None
-        for _ in range(_EVENTS_PER_TURN):
+        for _ in range(_MAX_EVENTS_PER_TURN):
             if not self._events:
                 self._pending.clear()
                 break
@@ -199,7 +199,7 @@
         now = self._clock.now()
         self._lag.note(arrival, now)
         if isinstance(event, Tick):
-            self._tick_waits = False
+            self._tick_queued = False
             for effect in self._lag.tell(now, len(self._events)):
                 self._perform(effect)
         given = Timed(arrival, event) if self._in_turns else event
@@ -233,7 +233,7 @@
     def _send(self, effect: Send) -> None:
         self._links.send(effect.to, effect.message)
 
-    def _take_exit(self, effect: Exit) -> None:
+    def _on_exit(self, effect: Exit) -> None:
         self._stop(EXIT_DONE)
 
     def _stop(self, status: int) -> None:
@@ -243,11 +243,11 @@
     def _tick(self) -> None:
         while True:
             # After a pause or under load ticks would pile up and be reduced in a row.
-            if not self._tick_waits:
-                self._tick_waits = True
+            if not self._tick_queued:
+                self._tick_queued = True
                 self.post(Tick())
             if self._is_draining():
-                self._bound_drain()
+                self._start_drain_timer()
             gevent.sleep(self._tick_interval.total_seconds())
 
 
--- a/gypsumspoke/shell/sidecar.py
+++ b/gypsumspoke/shell/sidecar.py
@@ -11,7 +11,7 @@
 from gypsumspoke.shell.admin_http import AdminServer
 from gypsumspoke.shell.role import (
     log_listening,
-    open_peer_side,
+    open_peer_context,
     own_member,
     with_addresses,
 )
@@ -40,7 +40,7 @@
 
 def _open(settings: Settings, clock: Clock, stack: ExitStack) -> Runtime:
     """Bind the ports and put the parts together; the stack closes them."""
-    identity, links, peer_port, own_metrics = open_peer_side(settings, clock, stack)
+    identity, links, peer_port, own_metrics = open_peer_context(settings, clock, stack)
     # The admin port must be bound before the member, and so the state, is known.
     # Nothing is served until the loop runs, and by then all parts are there.
     announcements = UpstreamHttp(
@@ -98,6 +98,6 @@
             if policy.name == state.member.service:
                 upstream.set_policy(policy)
 
-    runtime.handle(StartUpstream, upstream.start)
-    runtime.handle(ApplyManifest, apply_manifest)
+    runtime.add_handler(StartUpstream, upstream.start)
+    runtime.add_handler(ApplyManifest, apply_manifest)
     return upstream
--- a/gypsumspoke/shell/table_client.py
+++ b/gypsumspoke/shell/table_client.py
@@ -30,7 +30,7 @@
 _LIMITS = ExchangeLimits(
     connect_timeout=timedelta(seconds=1),
     answer_timeout=timedelta(seconds=5),
-    answer_bytes=16 * 1024 * 1024,
+    max_answer_bytes=16 * 1024 * 1024,
 )
 _HEADERS = (("Content-Type", "application/json"),)
 _OK = 200
--- a/tests/runs/test_reports.py
+++ b/tests/runs/test_reports.py
@@ -5,7 +5,7 @@
 from gypsumspoke.runs.messages import Pulse, WorkerReport
 from gypsumspoke.runs.supervisor_report import CHANGE_REPORT_INTERVAL
 from gypsumspoke.runs.values import JobEnd
-from gypsumspoke.shell.run_role import SILENCE_LIMIT
+from gypsumspoke.shell.run_role import MAX_SILENCE
 from tests.runs.test_job_lifecycle import settled
 from tests.runs.world import World, job, ms
 
@@ -62,7 +62,7 @@
     times = [time for time in pulse_times(world, "entry0") if time > start]
     assert len(times) <= 3 * 4
     gaps = [later - time for time, later in zip(times, times[1:])]
-    assert max(gaps) <= SILENCE_LIMIT / 2
+    assert max(gaps) <= MAX_SILENCE / 2
 
 
 def test_an_entry_with_a_run_answers_reports_within_a_tick():
--- a/tests/shell/test_departure.py
+++ b/tests/shell/test_disconnects.py
@@ -4,7 +4,7 @@
 import pytest
 from gevent.socket import socketpair
 
-from gypsumspoke.shell.departure import departure
+from gypsumspoke.shell.disconnects import watch_disconnect
 
 
 @pytest.fixture
@@ -18,7 +18,7 @@
 def test_a_closed_connection_is_noticed_once(pair):
     here, caller = pair
     left = []
-    with departure(here, lambda: left.append(True)):
+    with watch_disconnect(here, lambda: left.append(True)):
         caller.close()
         gevent.sleep(0.05)
     assert left == [True]
@@ -27,7 +27,7 @@
 def test_bytes_of_a_next_request_are_left_alone(pair):
     here, caller = pair
     left = []
-    with departure(here, lambda: left.append(True)):
+    with watch_disconnect(here, lambda: left.append(True)):
         caller.sendall(b"GET")
         gevent.sleep(0.05)
     assert left == []
@@ -37,7 +37,7 @@
 def test_nothing_is_noticed_after_the_block(pair):
     here, caller = pair
     left = []
-    with departure(here, lambda: left.append(True)):
+    with watch_disconnect(here, lambda: left.append(True)):
         gevent.sleep(0)
     caller.close()
     gevent.sleep(0.05)
--- a/tests/shell/test_early_listeners.py
+++ b/tests/shell/test_early_listeners.py
@@ -7,7 +7,7 @@
 import pytest
 
 from gypsumspoke.shell.early_listeners import EarlyListeners
-from gypsumspoke.shell.http_servers import open_small_server
+from gypsumspoke.shell.http_servers import open_http_server
 from gypsumspoke.shell.keep_alive import KeepAliveClient, Request
 from tests.standins.sockets import closed_port
 
@@ -30,7 +30,7 @@
         asked = gevent.spawn(client.send, Request("GET", "/", {}), BOUND)
         gevent.sleep(0.05)
         assert not asked.ready()
-        open_small_server(address, answer, listeners, stack)
+        open_http_server(address, answer, listeners, stack)
         assert asked.get(timeout=5).unwrap().body == b"here"
 
 
@@ -40,7 +40,7 @@
         second = EarlyListeners([address])
         assert second.take(address) is None
         with pytest.raises(OSError):
-            open_small_server(address, answer, second, stack)
+            open_http_server(address, answer, second, stack)
 
 
 def test_a_port_that_nobody_takes_is_closed():
--- a/tests/shell/test_keep_alive.py
+++ b/tests/shell/test_keep_alive.py
@@ -33,8 +33,8 @@
     serving.stop(timeout=0)
 
 
-def client_of(address, answer_bytes=1000):
-    return KeepAliveClient(address, SECOND, answer_bytes)
+def client_of(address, max_answer_bytes=1000):
+    return KeepAliveClient(address, SECOND, max_answer_bytes)
 
 
 def test_requests_share_a_connection(server):
@@ -81,7 +81,7 @@
 
 
 def test_a_body_over_the_bound_is_refused(server):
-    answer = client_of(server.address, answer_bytes=1).send(ASK, SECOND)
+    answer = client_of(server.address, max_answer_bytes=1).send(ASK, SECOND)
     assert answer.failure() is ExchangeError.TOO_LARGE
 
 
--- a/tests/shell/test_runtime.py
+++ b/tests/shell/test_runtime.py
@@ -85,8 +85,8 @@
         raise OSError
 
     runtime, _, _, _ = make(lambda event: [Count(Counter.PEER_LOST), Exit()])
-    runtime.handle(Count, fail)
-    runtime.handle(Count, seen.append)
+    runtime.add_handler(Count, fail)
+    runtime.add_handler(Count, seen.append)
     assert run(runtime) == module.EXIT_DONE
     assert seen == [Count(Counter.PEER_LOST)]
 
@@ -96,7 +96,7 @@
         return [Count(Counter.PEER_LOST)] if event in ("a", "b") else [Exit()]
 
     runtime, toy, _, _ = make(effects)
-    runtime.handle(Count, lambda effect: runtime.post("nested"))
+    runtime.add_handler(Count, lambda effect: runtime.post("nested"))
     for event in ("a", "b", Drain()):
         runtime.post(event)
     run(runtime)
@@ -149,7 +149,7 @@
 
     due = []
     runtime, toy, _, _ = make(effects)
-    runtime.handle(Count, lambda effect: runtime.post("more"))
+    runtime.add_handler(Count, lambda effect: runtime.post("more"))
     runtime.post("more")
     timer = gevent.spawn_later(0.005, due.append, True)
     assert run(runtime) == module.EXIT_DONE
