--- a/gypsumspoke/platform/worker.py
+++ b/gypsumspoke/platform/worker.py
@@ -27,7 +27,7 @@
     StartCommand,
     StopCommand,
 )
-from gypsumspoke.shell.answer_time import AnswerTime
+from gypsumspoke.shell.adaptive_timeout import AdaptiveTimeout
 from gypsumspoke.shell.http_exchange import ExchangeError, HttpAnswer
 from gypsumspoke.shell.keep_alive import KeepAliveClient, Request
 
@@ -74,7 +74,7 @@
         self._client = KeepAliveClient(address, _CONNECT_TIMEOUT, _ANSWER_BYTES)
         self._post = post
         self._clock = clock
-        self._answer_time = AnswerTime(COMMAND_TIMEOUT)
+        self._answer_time = AdaptiveTimeout(COMMAND_TIMEOUT)
 
     def close(self) -> None:
         """Close the connections."""
@@ -118,12 +118,12 @@
         self, kind: CommandKind, path: str, run, worker: str, body: dict
     ) -> None:
         sent = self._clock.now()
-        answer = self._send(path, worker, body, self._answer_time.wait)
+        answer = self._send(path, worker, body, self._answer_time.timeout)
         result = _result(answer)
         if result is CommandResult.UNANSWERED:
-            self._answer_time.note_missing()
+            self._answer_time.record_missing()
         elif result is not CommandResult.NOT_SENT:
-            self._answer_time.note(self._clock.now() - sent)
+            self._answer_time.record(self._clock.now() - sent)
         fields = _fields(answer)
         self._post(CommandAnswered(kind, run, result, _clock_of(fields), sent))
 
@@ -136,7 +136,7 @@
         if order.lease_end is not None:
             body["deadline_ms"] = order.lease_end // _MILLISECOND
         sent = self._clock.now()
-        within = order.wait + self._answer_time.wait
+        within = order.wait + self._answer_time.timeout
         answer = self._send("/v1/hold", order.worker, body, within)
         result = _result(answer)
         fields = _fields(answer)
--- a/gypsumspoke/shell/answer_time.py
+++ b/gypsumspoke/shell/adaptive_timeout.py
@@ -10,13 +10,13 @@
 from datetime import timedelta
 
 # Several times the usual answer, and a short pause of either process.
-SHORTEST = timedelta(milliseconds=30)
+MIN_TIMEOUT = timedelta(milliseconds=30)
 _GAIN = 0.125
 _DEVIATION_GAIN = 0.25
 _DEVIATIONS = 4
 
 
-class AnswerTime:
+class AdaptiveTimeout:
     """The times of the latest answers.
 
     Args:
@@ -29,14 +29,14 @@
         self._deviation = 0.0
 
     @property
-    def wait(self) -> timedelta:
+    def timeout(self) -> timedelta:
         """How long to wait for the next answer."""
         if self._smoothed is None:
             return self._longest
         seconds = self._smoothed + _DEVIATIONS * self._deviation
-        return min(max(timedelta(seconds=seconds), SHORTEST), self._longest)
+        return min(max(timedelta(seconds=seconds), MIN_TIMEOUT), self._longest)
 
-    def note(self, took: timedelta) -> None:
+    def record(self, took: timedelta) -> None:
         """Take the time of one answer."""
         seconds = took.total_seconds()
         if self._smoothed is None:
@@ -47,7 +47,7 @@
         self._deviation += _DEVIATION_GAIN * (abs(error) - self._deviation)
         self._smoothed += _GAIN * error
 
-    def note_missing(self) -> None:
+    def record_missing(self) -> None:
         """Wait longer after each answer that did not come: it may just be slow."""
         if self._smoothed is not None:
             self._deviation = min(self._deviation * 2, self._longest.total_seconds())
--- a/gypsumspoke/shell/admin_http.py
+++ b/gypsumspoke/shell/admin_http.py
@@ -31,7 +31,7 @@
 _METRICS_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 
 
-class ShownMetrics(Protocol):
+class MetricsRenderer(Protocol):
     """What the administration port asks of the metrics."""
 
     def render(self) -> bytes:
@@ -53,7 +53,7 @@
         self,
         host: str,
         port: int,
-        metrics: ShownMetrics,
+        metrics: MetricsRenderer,
         ready: Callable[[], bool],
         extra_routes: Mapping[str, Application] | None = None,
     ) -> None:
--- a/gypsumspoke/shell/late_metrics.py
+++ b/gypsumspoke/shell/deferred_metrics.py
@@ -17,12 +17,12 @@
     from gypsumspoke.shell.metrics import Metrics
 
 # The first seconds after a loss of all processes are those of the highest load.
-LOAD_AFTER = timedelta(seconds=6)
+LOAD_DELAY = timedelta(seconds=6)
 # More than that is not kept: the library is loaded instead.
-MOST_KEPT = 20_000
+MAX_PENDING = 20_000
 
 
-class LateMetrics:
+class DeferredMetrics:
     """Takes counts at once and hands them to ``Metrics`` once that is loaded.
 
     Args:
@@ -33,7 +33,7 @@
         self._identity = (role, worker)
         self._kept: list[Callable[[Metrics], None]] = []
         self._metrics: Metrics | None = None
-        self._greenlet = gevent.spawn_later(LOAD_AFTER.total_seconds(), self.load)
+        self._greenlet = gevent.spawn_later(LOAD_DELAY.total_seconds(), self.load)
 
     def count(self, effect: Count) -> None:
         """Count one event, refusal or retry."""
@@ -71,5 +71,5 @@
             take(self._metrics)
             return
         self._kept.append(take)
-        if len(self._kept) >= MOST_KEPT:
+        if len(self._kept) >= MAX_PENDING:
             self.load()
--- a/gypsumspoke/shell/http_servers.py
+++ b/gypsumspoke/shell/http_servers.py
@@ -11,7 +11,7 @@
     AdminServer,
     Application,
     IdleClosingHandler,
-    ShownMetrics,
+    MetricsRenderer,
     server_environ,
 )
 from gypsumspoke.shell.early_listeners import EarlyListeners
@@ -51,7 +51,7 @@
 
 
 def open_metrics(
-    address: Address, metrics: ShownMetrics, is_ready, stack: ExitStack
+    address: Address, metrics: MetricsRenderer, is_ready, stack: ExitStack
 ) -> None:
     """Serve metrics and health.
 
--- a/gypsumspoke/shell/link_metrics.py
+++ b/gypsumspoke/shell/link_metrics.py
@@ -7,7 +7,7 @@
 from gypsumspoke.wire.links import PeerLinks
 
 
-class Gauges(Protocol):
+class GaugeRegistry(Protocol):
     """Takes gauges that are read when the metrics are."""
 
     def gauge(self, name: str, description: str, read: Callable[[], float]) -> None:
@@ -28,7 +28,7 @@
 }
 
 
-def show_links(metrics: Gauges, links: PeerLinks) -> None:
+def add_link_gauges(metrics: GaugeRegistry, links: PeerLinks) -> None:
     """Show what the links count.
 
     Args:
--- a/gypsumspoke/shell/loop_lag.py
+++ b/gypsumspoke/shell/loop_lag.py
@@ -48,12 +48,12 @@
         self._told_at = now
         self._told_processor = processor_seconds()
 
-    def note(self, arrival: Arrival, now: datetime) -> None:
+    def record(self, arrival: Arrival, now: datetime) -> None:
         """Take the lag of one event that is handled now."""
         self._unread = max(self._unread, arrival.read - arrival.earliest)
         self._unhandled = max(self._unhandled, now - arrival.read)
 
-    def tell(self, now: datetime, queued: int) -> list[Observe | Log]:
+    def report(self, now: datetime, queued: int) -> list[Observe | Log]:
         """Return what shows the worst lag since the last call.
 
         Args:
--- a/gypsumspoke/shell/role.py
+++ b/gypsumspoke/shell/role.py
@@ -12,7 +12,7 @@
 from gypsumspoke.core.effects import Effect
 from gypsumspoke.core.values import Member
 from gypsumspoke.parser.settings import Settings
-from gypsumspoke.shell.link_metrics import show_links
+from gypsumspoke.shell.link_metrics import add_link_gauges
 from gypsumspoke.shell.metrics import Metrics
 from gypsumspoke.shell.runtime import Reduce
 from gypsumspoke.wire.hello import PROTOCOL_VERSION, Hello
@@ -67,7 +67,7 @@
     links = stack.enter_context(closing(open_links(settings, identity, clock)))
     peer_port = links.listen(settings.host, settings.peer_port)
     metrics = Metrics(settings.role.value, settings.worker)
-    show_links(metrics, links)
+    add_link_gauges(metrics, links)
     return PeerSide(identity, links, peer_port, metrics)
 
 
--- a/gypsumspoke/shell/run_role.py
+++ b/gypsumspoke/shell/run_role.py
@@ -13,9 +13,9 @@
 from gypsumspoke.core.effects import Count, Log, Observe
 from gypsumspoke.runs.directory import DialEntries
 from gypsumspoke.runs.settings import RunSettings, parse_address
+from gypsumspoke.shell.deferred_metrics import DeferredMetrics
 from gypsumspoke.shell.early_listeners import EarlyListeners
-from gypsumspoke.shell.late_metrics import LateMetrics
-from gypsumspoke.shell.link_metrics import show_links
+from gypsumspoke.shell.link_metrics import add_link_gauges
 from gypsumspoke.shell.logs import log
 from gypsumspoke.shell.runtime import Reduce, Runtime
 from gypsumspoke.shell.settings_file import SettingsFile
@@ -57,7 +57,7 @@
     incarnation: str
     links: PeerLinks
     dialler: Dialler
-    metrics: LateMetrics
+    metrics: DeferredMetrics
 
 
 def open_run_side(
@@ -87,8 +87,8 @@
     if settings.peers is not None:
         links.listen(*settings.peers, listeners.take(settings.peers))
     dialler = stack.enter_context(closing(Dialler(links, clock, seed)))
-    metrics = stack.enter_context(closing(LateMetrics(role, settings.instance)))
-    show_links(metrics, links)
+    metrics = stack.enter_context(closing(DeferredMetrics(role, settings.instance)))
+    add_link_gauges(metrics, links)
     return RunSide(incarnation, links, dialler, metrics)
 
 
--- a/gypsumspoke/shell/runtime.py
+++ b/gypsumspoke/shell/runtime.py
@@ -197,10 +197,10 @@
 
     def _reduce_one(self, arrival: Arrival, event: Any) -> None:
         now = self._clock.now()
-        self._lag.note(arrival, now)
+        self._lag.record(arrival, now)
         if isinstance(event, Tick):
             self._tick_waits = False
-            for effect in self._lag.tell(now, len(self._events)):
+            for effect in self._lag.report(now, len(self._events)):
                 self._perform(effect)
         given = Timed(arrival, event) if self._in_turns else event
         try:
--- a/tests/shell/test_late_metrics.py
+++ b/tests/shell/test_deferred_metrics.py
@@ -4,14 +4,14 @@
 
 from gypsumspoke.core.effects import Count, Observe
 from gypsumspoke.runs.values import RefusalReason
-from gypsumspoke.shell import late_metrics
-from gypsumspoke.shell.late_metrics import LateMetrics
+from gypsumspoke.shell import deferred_metrics
+from gypsumspoke.shell.deferred_metrics import DeferredMetrics
 
 REFUSED = 'gypsumspoke_job_refusals_total{reason="too_late"}'
 
 
 def test_what_is_counted_before_the_library_is_loaded_is_shown():
-    with closing(LateMetrics("entry", "front-1")) as metrics:
+    with closing(DeferredMetrics("entry", "front-1")) as metrics:
         metrics.gauge("open_things", "Things.", lambda: 3.0)
         metrics.count(Count(RefusalReason.TOO_LATE, 2))
         metrics.observe(Observe("job_seconds", 0.2, "checks"))
@@ -28,8 +28,8 @@
     """An overload in the first seconds counts a refusal for each of thousands of jobs.
     Kept without a bound they would grow the process; at the bound they are counted.
     """
-    monkeypatch.setattr(late_metrics, "MOST_KEPT", 3)
-    with closing(LateMetrics("entry", "front-1")) as metrics:
+    monkeypatch.setattr(deferred_metrics, "MAX_PENDING", 3)
+    with closing(DeferredMetrics("entry", "front-1")) as metrics:
         for _ in range(5):
             metrics.count(Count(RefusalReason.TOO_LATE))
         assert f"{REFUSED} 5.0" in metrics.render().decode()
--- a/tests/shell/test_loop_lag.py
+++ b/tests/shell/test_loop_lag.py
@@ -29,8 +29,8 @@
         self.processor += 0.05
         read = self.now - ms(unhandled)
         came = read - ms(unread)
-        self.lag.note(Arrival(came, came, read), self.now)
-        for effect in self.lag.tell(self.now, queued):
+        self.lag.record(Arrival(came, came, read), self.now)
+        for effect in self.lag.report(self.now, queued):
             if isinstance(effect, Log):
                 self.lines.append((effect.event, dict(effect.fields)))
             elif isinstance(effect, Observe):
