--- a/gypsumspoke/shell/run_sidecar.py
+++ b/gypsumspoke/shell/run_sidecar.py
@@ -74,7 +74,7 @@
         )
         runtime.add_handler(StartCommand, worker.start)
         runtime.add_handler(StopCommand, worker.stop)
-        runtime.add_handler(RenewCommand, worker.hold)
+        runtime.add_handler(RenewCommand, worker.renew)
         is_ready = partial(_is_ready, state, clock)
         open_metrics(settings.metrics, context.metrics, is_ready, stack)
         registration = adapter.registration(runtime.post)
--- a/tests/runs/test_caller_timeouts.py
+++ b/tests/runs/test_caller_timeouts.py
@@ -1,4 +1,4 @@
-"""Callers that come back after a loss, told from new ones by how long they wait."""
+"""Detection of resubmitted jobs by the remaining timeout of their callers."""
 
 from datetime import timedelta
 
@@ -19,7 +19,7 @@
 
 
 def learned() -> CallerTimeouts:
-    """Return what an entry knows whose callers wait two to three seconds."""
+    """Return the state of an entry whose callers wait two to three seconds."""
     patience = CallerTimeouts(PAUSE, START)
     for number in range(3 * SAMPLES_PER_UPDATE):
         patience.record(CHECKS, USUAL + ms(10 * (number % 100)))
@@ -42,8 +42,8 @@
 
 
 def test_callers_that_all_wait_less_from_now_on_are_new_ones_again():
-    """The operators shorten a time-out and every caller waits less. Taken for callers
-    that come back, all of them would count as late for good.
+    """After a change of the callers' timeout, all of their jobs would count as
+    resubmissions for good.
     """
     patience = learned()
     later = START + STORED_VALID_FOR
@@ -52,9 +52,9 @@
     assert patience.waited_elsewhere(CHECKS, ms(900), later) == ms(0)
 
 
-def test_what_others_kept_counts_while_a_process_is_new():
-    """All entries were lost. The first callers of a new one are mostly those that come
-    back, so what it learns from them is wrong; what was kept before tells them apart.
+def test_stored_values_are_used_while_a_process_is_new():
+    """After a loss of all entries, most first requests are resubmissions, and values
+    learned from them are too low.
     """
     patience = CallerTimeouts(PAUSE, START)
     kept = CallerTimeoutsRead(({CHECKS: USUAL}, {CHECKS: ms(1900)}, {CHECKS: ms(9000)}))
@@ -65,7 +65,7 @@
     assert patience.waited_elsewhere(CHECKS, ms(700), START + STORED_VALID_FOR) == ms(0)
 
 
-def test_it_is_kept_when_it_has_changed_clearly_and_not_too_often():
+def test_values_are_stored_after_a_clear_change_and_not_too_often():
     patience = learned()
     assert patience.to_store(START) is None
     first = patience.to_store(START + STORE_INTERVAL)
@@ -83,10 +83,7 @@
 
 
 def test_a_new_job_goes_before_those_that_come_back():
-    """An entry is lost and eight callers send their jobs again, late already, through
-    the one that is left. A new job comes a moment after them. In order of arrival it
-    would wait for all of them and be late too; they lose nothing by letting it go.
-    """
+    """Behind resubmitted jobs, which are late already, a new job would be late too."""
     world = settled(sidecars=1)
     state = world.processes["entry0"].state
     state.caller_timeouts.update_stored(CallerTimeoutsRead(({CHECKS: ms(9000)},)))
