--- a/gypsumspoke/runs/budget.py
+++ b/gypsumspoke/runs/budget.py
@@ -11,9 +11,9 @@
   there was last heard, until the worker has accepted that run's stop. A sidecar that
   is dead or paused does not extend it.
 
-In the worst case the entry is lost at time 0, no stop is answered or the sidecar is paused,
-and the worker's clock is slow: the runs end by ``run_expiry``, a tick before the
-resubmission. A live entry waits as long before it places a run of a silent sidecar
+In the worst case the entry is lost at time 0, no stop is answered or the sidecar is
+paused, and the worker's clock is slow: the runs end by ``run_expiry``, a tick before
+the resubmission. A live entry waits as long before it places a run of a silent sidecar
 elsewhere.
 
 The pause is set by the platform, and all other durations are multiples of a tick that
