--- a/gypsumspoke/platform/callers.py
+++ b/gypsumspoke/platform/callers.py
@@ -24,7 +24,7 @@
 )
 from gypsumspoke.runs.values import JobEnd, RefusalReason, Route
 from gypsumspoke.shell.caller_server import SOCKET_KEY
-from gypsumspoke.shell.departure import departure, is_closed
+from gypsumspoke.shell.disconnects import is_closed, watch_disconnect
 from gypsumspoke.shell.http_answers import (
     Environ,
     HttpAnswer,
@@ -81,7 +81,7 @@
         self._configured = Event()
         self._has_ended = False
 
-    def note_configured(self, effect: FirstConfiguration) -> None:
+    def on_first_configuration(self, effect: FirstConfiguration) -> None:
         """Let the requests go on that wait for the first configuration."""
         self._configured.set()
 
@@ -89,7 +89,7 @@
         """Hand an answer to the request that waits for it."""
         self._waiters.deliver(effect.request, effect)
 
-    def give_up_all(self) -> None:
+    def abort_all(self) -> None:
         """Answer all who wait, and from now on refuse at once: the loop has ended.
 
         Without this their connections would stay open without an answer until the
@@ -172,7 +172,7 @@
         try:
             deadline = self._clock.now() + patience
             self._post(JobArrived(request, parsed.unwrap(), route, deadline))
-            with departure(
+            with watch_disconnect(
                 environ[SOCKET_KEY],
                 lambda: self._post(JobCallerLeft(request)),
             ):
--- a/gypsumspoke/runs/supervisor_incarnation.py
+++ b/gypsumspoke/runs/supervisor_incarnation.py
@@ -1,4 +1,4 @@
-"""The worker's life, clock and lease, as a sidecar knows them."""
+"""The worker's incarnation, clock and fencing token, as known to its sidecar."""
 
 import logging
 from datetime import datetime, timedelta
@@ -9,23 +9,26 @@
 from gypsumspoke.runs.values import Registration
 
 
-def take_registration(
+def handle_registration(
     state: SupervisorState, registration: Registration, now: datetime
 ) -> list[Effect]:
-    """Take what the worker says of itself, unless it is old or another service's."""
+    """Update the worker from a heartbeat, unless it is old or of another service."""
     if state.service and registration.service != state.service:
         fields = (("service", registration.service), ("worker", registration.id))
-        return [Log(logging.WARNING, "heartbeat of another service", fields=fields)]
+        return [Log(logging.WARNING, "heartbeat from another service", fields=fields)]
     known = state.worker
     if known is not None and _is_older(registration, known):
         return []
-    if state.born is not None and registration.incarnation < state.born:
-        # A list of the worker has shown a later life already.
+    if (
+        state.worker_incarnation is not None
+        and registration.incarnation < state.worker_incarnation
+    ):
+        # A list has already shown a later incarnation.
         return []
     effects: list[Effect] = []
     if known is None or registration.incarnation != known.incarnation:
         effects += _log_registration(registration)
-        take_life(state, registration.incarnation, now)
+        handle_new_incarnation(state, registration.incarnation, now)
     elif registration.state is not known.state:
         effects += _log_registration(registration)
     state.worker = registration
@@ -33,9 +36,9 @@
 
 
 def _is_older(registration: Registration, known: Registration) -> bool:
-    """Return whether a heartbeat was overtaken by another.
+    """Return whether a heartbeat is older than the latest one.
 
-    One that a cut held up may arrive after its sender has crashed and started again.
+    A heartbeat delayed by a partition may arrive after its sender has restarted.
     """
     if registration.incarnation != known.incarnation:
         return registration.incarnation < known.incarnation
@@ -53,82 +56,86 @@
     return [Log(logging.INFO, "worker registered", fields=fields)]
 
 
-def take_life(state: SupervisorState, born: int, now: datetime) -> None:
-    """Go over to a new life of the worker, which knows and runs nothing of before.
+def handle_new_incarnation(
+    state: SupervisorState, incarnation: int, now: datetime
+) -> None:
+    """Reset what depends on the worker's incarnation.
 
-    Its ends count from 1 again. Compared with the old count they would all seem taken
-    note of, and the worker would look full for good. Runs are not given up here: one
-    may have been started on the new life before it showed. The next list tells.
+    The new incarnation runs nothing and numbers its ends from 1 again. Runs are kept:
+    one may have been started on the new incarnation before it was seen here, and the
+    next list shows which are running.
     """
-    if state.born == born:
+    if state.worker_incarnation == incarnation:
         return
-    is_first = state.born is None
-    state.born = born
-    state.born_learnt = now
+    is_first = state.worker_incarnation is None
+    state.worker_incarnation = incarnation
+    state.incarnation_seen_at = now
     if is_first:
         return
     if state.token > 0:
-        # Orders of the life before, which the new one may still carry out, are refused
-        # once it has seen this.
+        # Delayed commands for the previous incarnation are refused once the new one has
+        # seen this token.
         state.token += 1
         state.is_fenced = False
     state.last_seen = 0
     state.orphans.clear()
     state.list_clock = timedelta()
-    state.quiet_from = timedelta()
+    state.lists_complete_from = timedelta()
     state.failing = 0.0
     state.pace = 0.0
-    for guarded in state.runs.values():
-        # Times of the old life's clock say nothing on the new one.
-        guarded.start_clock = None
-        guarded.stop_clock = None
-        guarded.outlived = guarded.phase is not Phase.WAITING
-    # A start that was meant for the old life named a time of the old clock, which may
-    # be far ahead on the new one; the worker shortens such a lease to its maximum.
+    for local in state.runs.values():
+        # Each incarnation has its own clock.
+        local.start_clock = None
+        local.stop_clock = None
+        local.worker_restarted = local.phase is not Phase.WAITING
+    # A command with a lease end on the old clock may have reached the new incarnation,
+    # which shortens such a lease to its maximum.
     ends_by = max(state.lease.ends_by, now + state.budget.max_lease_on_slow_clock)
     state.lease = Lease(None, now, ends_by)
 
 
-def is_of_this_life(state: SupervisorState, sent: datetime | None) -> bool:
-    """Return whether an answer must be one of the worker's newest life.
+def is_from_current_incarnation(state: SupervisorState, sent: datetime | None) -> bool:
+    """Return whether an answer must come from the worker's current incarnation.
 
-    An order that was sent before that life showed may have been answered by the one
-    before, whose clock says nothing on this one.
+    A command sent before that incarnation was seen may have been answered by the
+    previous one, whose clock differs.
     """
-    if sent is None or state.born_learnt is None:
+    if sent is None or state.incarnation_seen_at is None:
         return True
-    return sent > state.born_learnt
+    return sent > state.incarnation_seen_at
 
 
-def note_clock(state: SupervisorState, clock: timedelta | None, now: datetime) -> None:
-    """Learn the worker's clock; what the answer took makes it too low, if at all."""
+def record_worker_clock(
+    state: SupervisorState, clock: timedelta | None, now: datetime
+) -> None:
+    """Record the worker's clock; the delay of the answer can only make it too low."""
     if clock is not None:
         state.lease = state.lease._replace(clock=clock, read_at=now)
 
 
 def worker_clock(state: SupervisorState, now: datetime) -> timedelta:
-    """Return the worker's clock, at most its true value: it may be slow."""
+    """Return a lower bound of the worker's clock, which may run slow."""
     since = now - state.lease.read_at
     return state.lease.clock + since / (1 + WORKER_CLOCK_ERROR)
 
 
 def raise_token(state: SupervisorState, now: datetime) -> None:
-    """Take a fencing token above those of earlier processes of this sidecar.
+    """Raise the fencing token above those of earlier processes of this sidecar.
 
-    The worker's own clock only rises within its life, and its memory of tokens ends
-    with that life too. So orders of an earlier process that are still under way are
-    refused, whatever the clocks of machines do.
+    Tokens come from the worker's clock, which only rises within an incarnation, as long
+    as the worker remembers tokens. So delayed commands of an earlier process are
+    refused whatever the machines' clocks do.
     """
     if state.lease.clock is not None:
         clock = worker_clock(state, now) // timedelta(milliseconds=1)
         state.token = max(state.token, clock, 1)
 
 
-def outbid_token(state: SupervisorState, refused: int, now: datetime) -> None:
-    """Take a higher token after the worker refused an order for its token.
+def raise_refused_token(state: SupervisorState, refused: int, now: datetime) -> None:
+    """Raise the token after the worker refused a command for its token.
 
-    The clock is not enough on a young life: an earlier process of this sidecar may have
-    brought its token along from the life before.
+    The clock of a new incarnation may be too low: an earlier process of this sidecar
+    may have carried its token over from the previous incarnation.
     """
     if refused == state.token:
         state.token *= 2
--- a/gypsumspoke/shell/run_entry.py
+++ b/gypsumspoke/shell/run_entry.py
@@ -21,10 +21,10 @@
 from gypsumspoke.runs.values import Configuration
 from gypsumspoke.shell.caller_server import HEADER_TIMEOUT, CallerServer
 from gypsumspoke.shell.early_listeners import EarlyListeners
-from gypsumspoke.shell.http_servers import open_metrics, open_small_server
+from gypsumspoke.shell.http_servers import open_http_server, open_metrics
 from gypsumspoke.shell.run_role import (
     StorePort,
-    open_run_side,
+    open_run_context,
     open_runtime,
     run_until_stopped,
 )
@@ -34,7 +34,7 @@
 class EntryStorePort(StorePort, Protocol):
     """What an entry asks of the store."""
 
-    def keep_patience(self, effect: StoreCallerTimeouts) -> None:
+    def store_caller_timeouts(self, effect: StoreCallerTimeouts) -> None:
         """Keep what was learned of callers; returns at once."""
 
 
@@ -44,8 +44,8 @@
     Attributes:
       parse_configuration: reads a configuration's text.
       open_callers: makes the WSGI application towards callers, with ``deliver``,
-        ``note_configured`` and ``give_up_all``, from the functions that post an event
-        and count a refusal, the clock and the state.
+        ``on_first_configuration`` and ``abort_all``, from the functions that post an
+        event and count a refusal, the clock and the state.
       readiness: makes the WSGI application that tells whether this entry is ready.
       open_store: makes the store's client from the settings and the post function.
       settings_file: the settings, to be read again.
@@ -79,7 +79,7 @@
       OSError: a port can't be bound.
     """
     with ExitStack() as stack:
-        side = open_run_side(settings, "entry", clock, listeners, stack)
+        context = open_run_context(settings, "entry", clock, listeners, stack)
         own_address = address_text(settings.peers)
         state = CoordinatorState(
             adapter.parse_configuration,
@@ -89,25 +89,32 @@
             settings.remote_slowdown,
         )
         runtime = open_runtime(
-            settings, side, coordinator.handle_event, state, clock, in_turns=True
+            settings, context, coordinator.handle_event, state, clock, in_turns=True
         )
-        callers = adapter.open_callers(runtime.post, side.metrics.count, clock, state)
-        runtime.handle(AnswerJob, callers.deliver)
-        runtime.handle(FirstConfiguration, callers.note_configured)
+        callers = adapter.open_callers(
+            runtime.post, context.metrics.count, clock, state
+        )
+        runtime.add_handler(AnswerJob, callers.deliver)
+        runtime.add_handler(FirstConfiguration, callers.on_first_configuration)
         is_ready = partial(_is_ready, state, clock)
-        open_metrics(settings.metrics, side.metrics, is_ready, stack)
+        open_metrics(settings.metrics, context.metrics, is_ready, stack)
         readiness = adapter.readiness(is_ready)
-        open_small_server(settings.readiness, readiness, listeners, stack)
+        open_http_server(settings.readiness, readiness, listeners, stack)
         header_timeout = partial(_header_timeout, state)
         listener = listeners.take(settings.callers)
         server = CallerServer(*settings.callers, callers, header_timeout, listener)
         stack.enter_context(closing(server))
         server.start()
-        stack.callback(callers.give_up_all)
+        stack.callback(callers.abort_all)
         store = adapter.open_store(settings, runtime.post)
-        runtime.handle(StoreCallerTimeouts, store.keep_patience)
+        runtime.add_handler(StoreCallerTimeouts, store.store_caller_timeouts)
         return run_until_stopped(
-            runtime, side, store, state.directory.to_dial, adapter.settings_file, stack
+            runtime,
+            context,
+            store,
+            state.directory.to_dial,
+            adapter.settings_file,
+            stack,
         )
 
 
