--- a/gypsumspoke/platform/worker.py
+++ b/gypsumspoke/platform/worker.py
@@ -27,7 +27,7 @@
     StartCommand,
     StopCommand,
 )
-from gypsumspoke.shell.answer_time import AnswerTime
+from gypsumspoke.shell.adaptive_timeout import AdaptiveTimeout
 from gypsumspoke.shell.http_exchange import ExchangeError, HttpAnswer
 from gypsumspoke.shell.keep_alive import KeepAliveClient, Request
 
@@ -75,7 +75,7 @@
         self._client = KeepAliveClient(address, _CONNECT_TIMEOUT, _MAX_ANSWER_BYTES)
         self._post = post
         self._clock = clock
-        self._answer_time = AnswerTime(COMMAND_TIMEOUT)
+        self._answer_timeout = AdaptiveTimeout(COMMAND_TIMEOUT)
 
     def close(self) -> None:
         """Close the connections."""
@@ -124,12 +124,12 @@
         self, kind: CommandKind, path: str, run, worker: str, body: dict
     ) -> None:
         sent = self._clock.now()
-        answer = self._send(path, worker, body, self._answer_time.wait)
+        answer = self._send(path, worker, body, self._answer_timeout.timeout)
         result = _result(answer)
         if result is CommandResult.UNANSWERED:
-            self._answer_time.note_missing()
+            self._answer_timeout.record_missing()
         elif result is not CommandResult.NOT_SENT:
-            self._answer_time.note(self._clock.now() - sent)
+            self._answer_timeout.record(self._clock.now() - sent)
         fields = _fields(answer)
         self._post(CommandAnswered(kind, run, result, _clock_of(fields), sent))
 
@@ -142,7 +142,7 @@
         if command.lease_end is not None:
             body["deadline_ms"] = command.lease_end // _MILLISECOND
         sent = self._clock.now()
-        timeout = command.wait + self._answer_time.wait
+        timeout = command.wait + self._answer_timeout.timeout
         answer = self._send("/v1/hold", command.worker, body, timeout)
         result = _result(answer)
         fields = _fields(answer)
--- a/gypsumspoke/shell/role.py
+++ b/gypsumspoke/shell/role.py
@@ -12,7 +12,7 @@
 from gypsumspoke.core.effects import Effect
 from gypsumspoke.core.values import Member
 from gypsumspoke.parser.settings import Settings
-from gypsumspoke.shell.link_metrics import show_links
+from gypsumspoke.shell.link_metrics import add_link_gauges
 from gypsumspoke.shell.metrics import Metrics
 from gypsumspoke.shell.runtime import Reduce
 from gypsumspoke.wire.hello import PROTOCOL_VERSION, Hello
@@ -36,7 +36,7 @@
     seed: int
 
 
-class PeerSide(NamedTuple):
+class PeerContext(NamedTuple):
     """What a process opens towards its peers before it is anything else.
 
     Attributes:
@@ -52,7 +52,9 @@
     metrics: Metrics
 
 
-def open_peer_side(settings: Settings, clock: Clock, stack: ExitStack) -> PeerSide:
+def open_peer_context(
+    settings: Settings, clock: Clock, stack: ExitStack
+) -> PeerContext:
     """Draw an identity and listen for peers.
 
     Args:
@@ -67,8 +69,8 @@
     links = stack.enter_context(closing(open_links(settings, identity, clock)))
     peer_port = links.listen(settings.host, settings.peer_port)
     metrics = Metrics(settings.role.value, settings.worker)
-    show_links(metrics, links)
-    return PeerSide(identity, links, peer_port, metrics)
+    add_link_gauges(metrics, links)
+    return PeerContext(identity, links, peer_port, metrics)
 
 
 def new_identity(settings: Settings) -> Identity:
--- a/tests/runs/test_reports.py
+++ b/tests/runs/test_reports.py
@@ -5,7 +5,7 @@
 from gypsumspoke.runs.messages import Pulse, WorkerReport
 from gypsumspoke.runs.supervisor_report import CHANGE_REPORT_INTERVAL
 from gypsumspoke.runs.values import JobEnd
-from gypsumspoke.shell.run_role import SILENCE_LIMIT
+from gypsumspoke.shell.run_role import MAX_SILENCE
 from tests.runs.test_job_lifecycle import settled
 from tests.runs.world import World, job, ms
 
@@ -59,13 +59,13 @@
     times = [time for time in pulse_times(world, "entry0") if time > start]
     assert len(times) <= 3 * 4
     gaps = [later - time for time, later in zip(times, times[1:])]
-    assert max(gaps) <= SILENCE_LIMIT / 2
+    assert max(gaps) <= MAX_SILENCE / 2
 
 
 def test_an_entry_with_a_run_answers_reports_within_a_tick():
     """The sidecar stops runs of a silent entry."""
     world = settled(sidecars=1)
-    world.workers["side0"].takes = lambda task: ms(1000)
+    world.workers["side0"].run_time = lambda task: ms(1000)
     world.submit("entry0", "r0", job("j0", count=1, estimate=ms(1000)))
     world.run(ms(30))
     start = world.now
@@ -103,7 +103,7 @@
         world.submit("entry0", f"a{number}", warm)
         world.run(ms(250))
     worker = world.workers["side0"]
-    worker.takes = lambda task: ms(1000)
+    worker.run_time = lambda task: ms(1000)
     slow = job("slow")._replace(steps=(small._replace(count=4),))
     world.submit("entry0", "slow", slow)
     world.run(ms(300))
