--- a/tests/test_api_pages.py
+++ b/tests/test_api_pages.py
@@ -7,7 +7,7 @@
 
 from gypsumspoke.core.errors import ANSWER_RULES, ErrorKind, Work
 from gypsumspoke.core.values import MAX_TASKS, Outcome
-from gypsumspoke.parser.announcement import _AnnouncementShape
+from gypsumspoke.parser.announcement import _AnnouncementSchema
 from gypsumspoke.parser.job_request import _JOB_FIELDS, _JOB_REQUIRED
 from gypsumspoke.shell import entry_http, operator_http, upstream_http
 
@@ -32,8 +32,8 @@
 
 def test_the_announcement_has_the_fields_that_are_parsed():
     announcement = SCHEMAS["Announcement"]
-    assert set(announcement["properties"]) == set(_AnnouncementShape.__annotations__)
-    assert set(announcement["required"]) == _AnnouncementShape.__required_keys__
+    assert set(announcement["properties"]) == set(_AnnouncementSchema.__annotations__)
+    assert set(announcement["required"]) == _AnnouncementSchema.__required_keys__
 
 
 def test_every_path_is_described():
