--- a/tests/fuzz/test_documents.py
+++ b/tests/fuzz/test_documents.py
@@ -1,4 +1,4 @@
-"""Settings and manifests with a fault: an error value, or a value that can be used."""
+"""Fuzz tests of settings, announcements and manifests: an error or a usable value."""
 
 import json
 from pathlib import Path
@@ -12,21 +12,22 @@
 from gypsumspoke.parser.documents import read_document, to_strict_json
 from gypsumspoke.parser.manifest import parse_manifest
 from gypsumspoke.parser.settings import Settings, parse_settings
-from tests.fuzz.texts import spoiled_documents
+from tests.fuzz.texts import mutated_documents
 
 EXAMPLES = Path(__file__).resolve().parents[2] / "examples"
 
 
-def plain(name):
-    """Return the plain value of an example file."""
+def decoded(name):
+    """Return the decoded value of an example file."""
     return read_document((EXAMPLES / name).read_text()).unwrap()
 
 
 @given(
-    spoiled_documents(plain("sidecar.json")) | spoiled_documents(plain("entry.json"))
+    mutated_documents(decoded("sidecar.json"))
+    | mutated_documents(decoded("entry.json"))
 )
-@example(json.dumps({**plain("entry.json"), "host": "\ud800"}))
-@example(json.dumps({**plain("entry.json"), "role": "\ud800"}))
+@example(json.dumps({**decoded("entry.json"), "host": "\ud800"}))
+@example(json.dumps({**decoded("entry.json"), "role": "\ud800"}))
 def test_settings(text):
     parsed = parse_settings(text)
     if not is_successful(parsed):
@@ -34,11 +35,11 @@
         return
     settings = parsed.unwrap()
     assert isinstance(settings, Settings)
-    # Names go into metrics, log lines and rows; a lone surrogate fails in each.
+    # Names are written to metrics, logs and rows, which can't encode lone surrogates.
     json.dumps(settings, default=str, ensure_ascii=False).encode()
 
 
-@given(spoiled_documents({"service": "a", "slots": 8, "port": 1, "leaving": False}))
+@given(mutated_documents({"service": "a", "slots": 8, "port": 1, "leaving": False}))
 def test_an_announcement(text):
     parsed = parse_announcement(text)
     if is_successful(parsed):
@@ -46,9 +47,9 @@
         json.dumps(parsed.unwrap(), ensure_ascii=False).encode()
 
 
-@given(spoiled_documents(plain("manifest.json")))
-def test_a_manifest_is_the_same_after_the_table(text):
-    """What one process accepts is stored as strict JSON and accepted by all others."""
+@given(mutated_documents(decoded("manifest.json")))
+def test_a_stored_manifest_is_parsed_alike(text):
+    """A manifest is stored as strict JSON, which other processes must parse alike."""
     parsed = parse_manifest(text)
     if not is_successful(parsed):
         assert all(isinstance(error, str) for error in parsed.failure())
@@ -58,9 +59,9 @@
     assert parse_manifest(stored.decode()) == parsed
 
 
-@given(spoiled_documents(plain("manifest.json")))
+@given(mutated_documents(decoded("manifest.json")))
 @example('{"services": ["\\ud800"]} // a comment')
-def test_plain_json_is_read_as_the_same_document(text):
+def test_strict_json_is_read_as_the_same_document(text):
     read = read_document(text)
     stored = to_strict_json(text)
     assert is_successful(stored) == is_successful(read)
--- a/tests/fuzz/test_entry_http.py
+++ b/tests/fuzz/test_entry_http.py
@@ -1,4 +1,4 @@
-"""Any bytes at the callers' port: always a known kind, and never an exception."""
+"""Fuzz tests of the HTTP interface for callers: a known error kind, no exception."""
 
 import io
 import json
@@ -26,7 +26,7 @@
 def call(environ):
     """Return status, headers and body of one request to the application.
 
-    Whatever reaches the reducer is answered "running" at once.
+    Requests that reach the reducer are answered "running" at once.
     """
     answered = []
 
@@ -41,7 +41,7 @@
 
 
 def request(method, path, more=(), body=b"", length=None):
-    """Return the kind of the answer to a request, after checking its form."""
+    """Return the kind of the answer to a request, after checking its format."""
     environ = {
         "REQUEST_METHOD": method,
         "PATH_INFO": path,
@@ -60,7 +60,7 @@
 
 
 @given(headers, bodies | st.binary(max_size=80))
-def test_any_body_runs_or_is_a_bad_request(more, body):
+def test_any_body_runs_or_is_an_invalid_request(more, body):
     assert request("POST", "/v1/jobs", more, body) in (
         ErrorKind.JOB_RUNNING,
         ErrorKind.INVALID_REQUEST,
@@ -68,13 +68,13 @@
 
 
 @given(st.integers(MAX_BODY_BYTES + 1), st.binary(max_size=10))
-def test_a_declared_length_over_the_bound_is_refused_unread(length, body):
+def test_too_large_a_content_length_is_refused_without_reading(length, body):
     kind = request("POST", "/v1/jobs", body=body, length=length)
     assert kind is ErrorKind.BODY_TOO_LARGE
 
 
 @given(st.sampled_from(["GET", "DELETE"]), latin, headers)
-def test_any_path_of_a_job_is_asked_about_or_a_bad_request(method, path, more):
+def test_any_job_path_is_queried_or_an_invalid_request(method, path, more):
     assert request(method, f"/v1/jobs/pots/{path}", more) in (
         ErrorKind.JOB_RUNNING,
         ErrorKind.INVALID_REQUEST,
@@ -82,13 +82,13 @@
 
 
 @given(latin, latin | latin.map(lambda text: "/v1/jobs/" + text), headers)
-def test_any_other_method_is_a_bad_request(method, path, more):
+def test_any_other_method_is_an_invalid_request(method, path, more):
     assume(method not in ("GET", "DELETE"))
     assert request(method, path, more) is ErrorKind.INVALID_REQUEST
 
 
-def test_what_is_right_gets_past_the_checks():
-    """The requests above would prove little if none of them reached the reducer."""
+def test_valid_requests_reach_the_reducer():
+    """Without this, the tests above could pass with every request refused."""
     body = json.dumps(JOB).encode()
     assert request("POST", "/v1/jobs", (), body) is ErrorKind.JOB_RUNNING
     assert request("GET", "/v1/jobs/pots/k/\xc3\xa9") is ErrorKind.JOB_RUNNING
--- a/tests/fuzz/test_frames.py
+++ b/tests/fuzz/test_frames.py
@@ -1,4 +1,4 @@
-"""Frames between processes, spoiled on the way, and streams cut anywhere."""
+"""Fuzz tests of frames: mutated messages, and streams split anywhere."""
 
 import typing
 
@@ -35,13 +35,13 @@
 
 
 @pytest.mark.parametrize("kind", KINDS, ids=lambda kind: kind.__name__)
-def test_a_mutated_message_is_an_error_value_or_a_whole_message(kind):
+def test_a_mutated_message_decodes_to_an_error_or_a_valid_message(kind):
     @settings(suppress_health_check=[HealthCheck.too_slow])
     @given(values_of(kind), MUTATIONS)
     def decodes(message, mutations):
         result = decode(mutated(encode(message), mutations))
         if is_successful(result):
-            # A field of another type than its annotation would fail in a reducer.
+            # A field of the wrong type would raise in a reducer.
             again = result.unwrap()
             assert type(again) in KINDS
             assert repr(decode(encode(again)).unwrap()) == repr(again)
@@ -50,7 +50,7 @@
 
 
 @given(st.lists(st.binary(max_size=40), max_size=5), st.lists(POSITIONS, max_size=8))
-def test_a_stream_cut_anywhere_brings_the_same_payloads(payloads, cuts):
+def test_a_stream_split_anywhere_gives_the_same_payloads(payloads, cuts):
     stream = b"".join(frame(payload).unwrap() for payload in payloads)
     bounds = sorted({0, len(stream), *(cut % (len(stream) + 1) for cut in cuts)})
     reader = FrameReader()
@@ -62,7 +62,7 @@
 
 
 @given(st.lists(st.binary(max_size=40), max_size=20))
-def test_a_garbage_stream_is_an_error_value_or_bounded(chunks):
+def test_a_random_stream_gives_an_error_or_bounded_payloads(chunks):
     reader = FrameReader()
     for chunk in chunks:
         result = reader.feed(chunk)
--- a/tests/fuzz/test_job_request.py
+++ b/tests/fuzz/test_job_request.py
@@ -1,4 +1,4 @@
-"""Job requests with a fault: an error value, or a submission that can be sent on."""
+"""Fuzz tests of job requests: an error or a submission that can be forwarded."""
 
 import json
 from datetime import datetime, timezone
@@ -9,7 +9,7 @@
 from gypsumspoke.core.messages import SubmitJob
 from gypsumspoke.parser.job_request import parse_job_request
 from gypsumspoke.wire.codec import decode, encode
-from tests.fuzz.texts import spoiled_documents
+from tests.fuzz.texts import mutated_documents
 
 NOW = datetime(2026, 1, 1, 8, tzinfo=timezone.utc)
 JOB = {
@@ -26,16 +26,16 @@
     ],
 }
 
-bodies = spoiled_documents(JOB).map(lambda text: text.encode(errors="surrogatepass"))
+bodies = mutated_documents(JOB).map(lambda text: text.encode(errors="surrogatepass"))
 
 
 @given(bodies | st.binary(max_size=80))
-def test_what_is_accepted_reaches_the_home_unchanged(body):
+def test_a_submission_reaches_the_home_unchanged(body):
     parsed = parse_job_request(body, NOW)
     if not is_successful(parsed):
         errors = parsed.failure()
         assert errors
-        # The errors go back to the caller as JSON in UTF-8.
+        # The errors are sent to the caller as JSON in UTF-8.
         json.dumps([error._asdict() for error in errors], ensure_ascii=False).encode()
         return
     message = SubmitJob("r1", 0, parsed.unwrap())
@@ -45,6 +45,6 @@
 
 
 @given(bodies)
-def test_a_copy_is_recognised(body):
+def test_a_resubmission_is_parsed_alike(body):
     first = parse_job_request(body, NOW)
     assert parse_job_request(body, NOW) == first
--- a/tests/fuzz/texts.py
+++ b/tests/fuzz/texts.py
@@ -1,7 +1,7 @@
-"""Strategies that spoil a valid document in one place.
+"""Strategies that mutate a valid document in one place.
 
-Wholly random text dies at the first character; a valid text with one value replaced or
-one character changed gets past the outer checks.
+Random text fails at the first character; a valid document with one changed value or
+character reaches the inner checks.
 """
 
 import copy
@@ -28,16 +28,16 @@
 )
 
 
-def spoiled_documents(valid):
-    """Return a strategy for the JSON text of a document with one fault or none.
+def mutated_documents(valid):
+    """Return a strategy for the JSON text of a document with at most one mutation.
 
     Args:
-      valid: a plain JSON value that is right.
+      valid: the JSON value of a valid document.
     """
     return st.one_of(
         _replaced(valid).map(json.dumps),
         _replaced(valid).map(lambda value: json.dumps(value, ensure_ascii=False)),
-        _cut(json.dumps(valid)),
+        _edited(json.dumps(valid)),
         st.text(max_size=60),
     )
 
@@ -46,19 +46,19 @@
 def _replaced(draw, valid):
     """Replace, add or drop one value anywhere in the document."""
     document = copy.deepcopy(valid)
-    holder, key = draw(st.sampled_from(list(_places(document))))
+    container, key = draw(st.sampled_from(list(_positions(document))))
     action = draw(st.sampled_from(["replace", "add", "drop", "keep"]))
     if action == "replace":
-        holder[key] = draw(VALUES)
-    elif action == "add" and isinstance(holder, dict):
-        holder[draw(_TEXTS)] = draw(VALUES)
+        container[key] = draw(VALUES)
+    elif action == "add" and isinstance(container, dict):
+        container[draw(_TEXTS)] = draw(VALUES)
     elif action == "drop":
-        del holder[key]
+        del container[key]
     return document
 
 
-def _places(value):
-    """Return each holder and key of a value inside the document."""
+def _positions(value):
+    """Yield the container and the key of each value inside the document."""
     if isinstance(value, dict):
         inner = value.items()
     elif isinstance(value, list):
@@ -67,11 +67,11 @@
         return
     for key, each in list(inner):
         yield value, key
-        yield from _places(each)
+        yield from _positions(each)
 
 
 @st.composite
-def _cut(draw, text):
+def _edited(draw, text):
     """Change, drop or insert characters at one place."""
     start = draw(st.integers(0, len(text)))
     length = draw(st.integers(0, 3))
--- a/tests/parser/test_announcement.py
+++ b/tests/parser/test_announcement.py
@@ -1,11 +1,11 @@
-"""What an upstream may say of itself."""
+"""Tests of parsing announcements of upstreams."""
 
 import pytest
 
 from gypsumspoke.parser.announcement import Announcement, parse_announcement
 
 
-def test_port_and_leaving_may_be_left_out():
+def test_port_and_leaving_are_optional():
     announcement = parse_announcement('{"service": "estimate", "slots": 8}').unwrap()
     assert announcement == Announcement("estimate", 8, 0, False)
 
@@ -22,5 +22,5 @@
         ("[", ""),
     ],
 )
-def test_a_bad_announcement_is_refused_with_its_path(text, path):
+def test_an_invalid_announcement_is_refused_with_the_path(text, path):
     assert path in [error.path for error in parse_announcement(text).failure()]
--- a/tests/parser/test_job_request.py
+++ b/tests/parser/test_job_request.py
@@ -1,4 +1,4 @@
-"""The JSON body of a job request."""
+"""Tests of parsing the JSON body of a job request."""
 
 import json
 from datetime import datetime, timedelta, timezone
@@ -9,7 +9,7 @@
 from gypsumspoke.parser.job_request import parse_job_request
 
 NOW = datetime(2026, 1, 1, tzinfo=timezone.utc)
-GOOD = {
+VALID = {
     "key": "k1",
     "birth": "2026-01-01T07:00:00+07:00",
     "team": "pots",
@@ -20,7 +20,7 @@
 
 
 def parse(**changes):
-    fields = {**GOOD, **changes}
+    fields = {**VALID, **changes}
     present = {name: value for name, value in fields.items() if value is not None}
     return parse_job_request(json.dumps(present).encode(), NOW)
 
@@ -30,7 +30,7 @@
     return [error.path for error in result.failure()]
 
 
-def test_a_good_request():
+def test_a_valid_request():
     submission = parse().unwrap()
     assert submission.key == ("pots", "k1")
     assert submission.birth == NOW
@@ -40,8 +40,8 @@
     assert submission.tasks[1] == (b"[1, 2]", None)
 
 
-def test_a_body_keeps_its_digits():
-    text = json.dumps(GOOD).replace('{"sum": 1}', '{"sum": 1.10, "n": 1e400}')
+def test_numbers_in_a_body_keep_their_digits():
+    text = json.dumps(VALID).replace('{"sum": 1}', '{"sum": 1.10, "n": 1e400}')
     submission = parse_job_request(text.encode(), NOW).unwrap()
     assert submission.tasks[0].body == b'{"sum": 1.10, "n": 1e400}'
 
@@ -82,11 +82,11 @@
         ),
     ],
 )
-def test_a_fault_is_named_by_its_path(changes, path):
+def test_an_error_has_its_path(changes, path):
     assert errors_of(parse(**changes)) == [path]
 
 
-def test_all_faults_of_the_job_are_named_at_once():
+def test_all_errors_are_reported_at_once():
     assert errors_of(parse(key="", team="", extra=1)) == ["$.extra", "$.key", "$.team"]
 
 
@@ -99,17 +99,17 @@
 
 def test_a_deeply_nested_task_body_is_refused():
     nested = b"[" * 50_000 + b"]" * 50_000
-    text = json.dumps(GOOD).encode().replace(b"[1, 2]", nested)
+    text = json.dumps(VALID).encode().replace(b"[1, 2]", nested)
     assert errors_of(parse_job_request(text, NOW))
 
 
-def test_the_digest_tells_a_copy_from_another_job():
+def test_the_digest_distinguishes_a_resubmission_from_another_job():
     def digest(**changes):
         return parse(**changes).unwrap().digest
 
     ordered = [{"body": {"a": 1, "b": 2}}]
-    turned = [{"body": {"b": 2, "a": 1}}]
-    assert digest(tasks=ordered) == digest(tasks=turned)
+    reordered = [{"body": {"b": 2, "a": 1}}]
+    assert digest(tasks=ordered) == digest(tasks=reordered)
     assert digest(tasks=ordered) == digest(tasks=ordered, attempt=3)
     others = [
         digest(),
--- a/tests/parser/test_manifest.py
+++ b/tests/parser/test_manifest.py
@@ -1,4 +1,4 @@
-"""The manifest: defaults, units and refusals."""
+"""Tests of parsing manifests: defaults, units and errors."""
 
 import json
 from datetime import timedelta
@@ -13,8 +13,8 @@
 TEAM = {"name": "tax", "tasks_per_second": 10, "burst_tasks": 20}
 
 
-def parse(services=(SERVICE,), teams=(TEAM,), **further):
-    document = {"services": list(services), "teams": list(teams), **further}
+def parse(services=(SERVICE,), teams=(TEAM,), **more):
+    document = {"services": list(services), "teams": list(teams), **more}
     return parse_manifest(json.dumps(document))
 
 
@@ -33,7 +33,7 @@
     assert policy.unwrap().policy == expected
 
 
-def test_all_errors_are_told_at_once():
+def test_all_errors_are_reported_at_once():
     errors = parse(teams=[{"name": "tax", "burst_tasks": 0, "quota": 1}]).failure()
     assert errors == (
         "teams[0].burst_tasks: expected int >= 1",
@@ -57,11 +57,11 @@
         ({"policy": 3}, "policy: expected an object"),
     ],
 )
-def test_a_bad_value_is_refused_with_its_path(document, error):
+def test_an_invalid_value_is_refused_with_its_path(document, error):
     assert any(found.startswith(error) for found in parse(**document).failure())
 
 
-def test_half_of_a_surrogate_pair_is_refused():
-    """No UTF-8 holds it; found by tests/fuzz, where the parser raised."""
+def test_a_lone_surrogate_is_refused():
+    """UTF-8 can't encode a lone surrogate, so it would raise an exception later."""
     errors = parse(teams=[{**TEAM, "name": "\ud800"}]).failure()
     assert "surrogates not allowed" in errors[0]
--- a/tests/parser/test_settings.py
+++ b/tests/parser/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings files: what is read, and what is refused with path and reason."""
+"""Tests of parsing settings files and of their errors."""
 
 import json
 from datetime import timedelta
@@ -10,8 +10,8 @@
 from gypsumspoke.parser.settings import SettingsError, parse_settings, read_settings
 
 SIDECAR = read_settings("examples/sidecar.json").unwrap()
-# A sidecar that leaves to its upstream what can be left to it.
-OPEN_SIDECAR = {
+# A sidecar whose upstream announces its service, slots and port.
+ANNOUNCED_SIDECAR = {
     "role": "sidecar",
     "http_port": None,
     "service": "",
@@ -22,16 +22,16 @@
 
 
 def example(**changes):
-    text = read_example()
+    fields = example_fields()
     for key, value in changes.items():
         if value is None:
-            del text[key]
+            del fields[key]
         else:
-            text[key] = value
-    return parse_settings(json.dumps(text))
+            fields[key] = value
+    return parse_settings(json.dumps(fields))
 
 
-def read_example():
+def example_fields():
     return {
         "role": "entry",
         "worker": "entry-1",
@@ -54,12 +54,12 @@
     assert read_settings("examples/entry.json").unwrap().http_port == 8101
 
 
-def test_a_sidecar_may_leave_its_size_to_the_upstream():
-    settings = example(**OPEN_SIDECAR).unwrap()
+def test_an_upstream_may_announce_service_slots_and_port():
+    settings = example(**ANNOUNCED_SIDECAR).unwrap()
     assert (settings.service, settings.slots, settings.upstream_port) == ("", 0, 0)
 
 
-def test_all_errors_are_told_at_once():
+def test_all_errors_are_reported_at_once():
     errors = example(peer_port=70000, worker=None, colour="red").failure()
     assert errors == (
         SettingsError("colour", "unknown key"),
@@ -78,15 +78,15 @@
         ({"http_port": None}, "http_port"),
         ({"slots": 8}, "slots"),
         ({"role": "sidecar", "http_port": None, "slots": 8}, "service"),
-        ({**OPEN_SIDECAR, "service": "estimate"}, "slots"),
-        ({**OPEN_SIDECAR, "slots": 8}, "service"),
-        ({**OPEN_SIDECAR, "service": "estimate", "slots": 8}, "upstream_port"),
-        ({**OPEN_SIDECAR, "upstream_host": ""}, "upstream_host"),
+        ({**ANNOUNCED_SIDECAR, "service": "estimate"}, "slots"),
+        ({**ANNOUNCED_SIDECAR, "slots": 8}, "service"),
+        ({**ANNOUNCED_SIDECAR, "service": "estimate", "slots": 8}, "upstream_port"),
+        ({**ANNOUNCED_SIDECAR, "upstream_host": ""}, "upstream_host"),
         ({"peer_port": True}, "peer_port"),
         ({"drain_timeout_seconds": "30"}, "drain_timeout_seconds"),
     ],
 )
-def test_a_bad_value_is_refused_with_its_path(changes, path):
+def test_an_invalid_value_is_refused_with_its_path(changes, path):
     assert path in [error.path for error in example(**changes).failure()]
 
 
--- a/tests/platform/system.py
+++ b/tests/platform/system.py
@@ -1,4 +1,4 @@
-"""Entries and sidecars as processes on the platform, with stand-ins around them."""
+"""Runs entries and sidecars as processes, with stand-ins for the store and workers."""
 
 import json
 import os
@@ -15,13 +15,13 @@
 from tests.standins.platform_worker import PlatformWorker
 from tests.standins.processes import Process, Processes
 
-BOUND_SECONDS = 20
+TIMEOUT_SECONDS = 20
 HOST = "pots.example"
 PREFIX = "/checks/"
 
 
 def configuration(version: int, *prefixes: str, **more: Any) -> dict:
-    """Return a configuration as the operator writes it."""
+    """Return a configuration in the platform's format."""
     routes = [
         {
             "name": f"route{number}",
@@ -58,11 +58,11 @@
 
 
 class PlatformSystem:
-    """A store, workers, and the product's processes.
+    """A stand-in store, stand-in workers, and real entry and sidecar processes.
 
     Args:
-      folder: for settings and logs.
-      entries, sidecars: how many.
+      folder: directory for settings and logs.
+      entries, sidecars: number of processes.
     """
 
     def __init__(self, folder: Path, entries: int = 2, sidecars: int = 2) -> None:
@@ -87,14 +87,14 @@
             worker = PlatformWorker(f"w{number}", self._ip(20 + number))
             self.workers.append(self._stack.enter_context(worker))
             self.sidecars.append(self.start_sidecar(number))
-            self._stack.callback(gevent.spawn(self._beat, number).kill)
+            self._stack.callback(gevent.spawn(self._send_heartbeats, number).kill)
         return self
 
     def __exit__(self, *error: object) -> None:
         self._stack.close()
 
     def start_entry(self, number: int) -> Process:
-        """Start an entry, or start it again."""
+        """Start or restart an entry."""
         ip = self._ip(10 + number)
         front, ready, control, _ = self._ports
         settings = self._settings(f"front-{number}", ip, ["front", "control"])
@@ -106,7 +106,7 @@
         return self._start("entry", settings)
 
     def start_sidecar(self, number: int) -> Process:
-        """Start a sidecar, or start it again."""
+        """Start or restart a sidecar."""
         ip = self._ip(20 + number)
         settings = self._settings(f"side-{number}", ip, ["side"])
         settings["listen"] = {"control": f"{ip}:{self._ports[2]}"}
@@ -141,13 +141,13 @@
     def _ip(self, number: int) -> str:
         return f"{self._net}.{number}"
 
-    def _beat(self, number: int) -> None:
+    def _send_heartbeats(self, number: int) -> None:
         while True:
-            self.beat(number)
+            self.send_heartbeat(number)
             gevent.sleep(0.3)
 
-    def beat(self, number: int) -> int | None:
-        """Send a worker's heartbeat; return the status, or None without answer."""
+    def send_heartbeat(self, number: int) -> int | None:
+        """Send a worker's heartbeat; return the status, or None without an answer."""
         worker = self.workers[number]
         address = (self._ip(20 + number), self._ports[2])
         path = f"/v1/instances/{worker.id}"
@@ -157,8 +157,8 @@
         except OSError:
             return None
 
-    def callers_address(self, number: int) -> tuple[str, int]:
-        """Return where an entry takes callers' requests."""
+    def caller_address(self, number: int) -> tuple[str, int]:
+        """Return the address on which an entry serves callers."""
         return self._ip(10 + number), self._ports[0]
 
     def call(
@@ -169,19 +169,19 @@
         body: Any = None,
         headers: dict[str, str] | None = None,
     ) -> tuple[int, Any, dict]:
-        """Call an entry as a caller; return status, JSON body and headers."""
-        address = self.callers_address(number)
+        """Send a caller's request to an entry; return status, JSON body and headers."""
+        address = self.caller_address(number)
         if not isinstance(body, bytes):
             body = json.dumps(body).encode() if body is not None else b""
         given = {"Host": HOST, "Gypsumspoke-Deadline-Ms": "5000", **(headers or {})}
         return _call(address, method, path, body, given)
 
     def submit(self, number: int, job_id: str, **more: Any) -> tuple[int, Any, dict]:
-        """Send a job to an entry."""
+        """Submit a job to an entry."""
         return self.call(number, "POST", PREFIX + job_id, job_body(**more))
 
     def is_ready(self, number: int) -> bool:
-        """Ask an entry whether new connections should come."""
+        """Return whether an entry's readiness probe succeeds."""
         address = (self._ip(10 + number), self._ports[1])
         try:
             return _call(address, "GET", "/v1/ready", b"")[0] == 200
@@ -191,22 +191,22 @@
     def metrics(self, ip_number: int) -> str:
         """Return the metrics of a process."""
         client = HTTPClient(self._ip(ip_number), 9464)
-        with_response = client.get("/metrics")
-        text = bytes(with_response.read()).decode()
+        response = client.get("/metrics")
+        text = bytes(response.read()).decode()
         client.close()
         return text
 
-    def wait_until(self, holds, what: str) -> None:
-        """Wait until something holds.
+    def wait_until(self, condition, description: str) -> None:
+        """Wait until a condition holds.
 
         Raises:
-          AssertionError: it does not within the bound.
+          AssertionError: it does not hold within the timeout.
         """
-        with gevent.Timeout(BOUND_SECONDS, False):
-            while not holds():
+        with gevent.Timeout(TIMEOUT_SECONDS, False):
+            while not condition():
                 gevent.sleep(0.02)
             return
-        raise AssertionError(f"{what} did not come")
+        raise AssertionError(f"timed out waiting for {description}")
 
     def wait_until_serving(self) -> None:
         """Wait until every entry completes jobs."""
@@ -222,7 +222,7 @@
 
 def _call(address, method, path, body, headers=None):
     client = HTTPClient(
-        *address, network_timeout=BOUND_SECONDS, connection_timeout=BOUND_SECONDS
+        *address, network_timeout=TIMEOUT_SECONDS, connection_timeout=TIMEOUT_SECONDS
     )
     try:
         response = client.request(method, path, body=body, headers=headers or {})
--- a/tests/platform/test_callers.py
+++ b/tests/platform/test_callers.py
@@ -1,4 +1,4 @@
-"""The callers' side of an entry, without its loop."""
+"""Tests of an entry's HTTP interface for callers, without its event loop."""
 
 import json
 from io import BytesIO
@@ -29,7 +29,7 @@
 
 
 class Entry:
-    """An entry that has just started and has no configuration yet."""
+    """A new entry without a configuration."""
 
     def __init__(self) -> None:
         self.clock = ManualClock(START)
@@ -46,7 +46,7 @@
         )
 
     def submit(self, connection: socket) -> str:
-        """Hand a job in on a connection; return the status line."""
+        """Submit a job on a connection; return the status line."""
         statuses: list[str] = []
         environ = {
             "REQUEST_METHOD": "POST",
@@ -59,15 +59,15 @@
         self.callers(environ, lambda status, headers: statuses.append(status))
         return statuses[0]
 
-    def fall_behind(self) -> None:
-        """Handle events so late, for so long, that all new jobs are refused."""
+    def overload(self) -> None:
+        """Make the load shedder refuse all new jobs because of event lag."""
         now = START
         for _ in range(10):
             now += self.state.budget.tick
             self.state.load_shedder.record_lag(self.state.budget.tick, now)
 
     def post(self, job_id: str) -> tuple[str, dict]:
-        """Send a job that is not supported; return status line and body."""
+        """Submit an unsupported job; return status line and body."""
         statuses: list[str] = []
         environ = {
             "REQUEST_METHOD": "POST",
@@ -80,7 +80,7 @@
         return statuses[0], json.loads(b"".join(body))
 
     def get(self) -> tuple[str, dict]:
-        """Ask for the route's count; return status line and body."""
+        """Query the number of pending jobs; return status line and body."""
         statuses: list[str] = []
         environ = {
             "REQUEST_METHOD": "GET",
@@ -97,20 +97,19 @@
 
 
 def test_a_request_waits_for_the_first_configuration(entry):
-    """All entries start at once beside a slow store, and callers are sent to them all
-    the same. A request that comes before the configuration is answered by it; refused
-    at once, its caller would have lost a job that could be done in time.
+    """Entries that start while the store is slow must not refuse jobs that could still
+    complete in time.
     """
-    asked = gevent.spawn(entry.get)
+    response = gevent.spawn(entry.get)
     gevent.sleep(0)
-    assert not asked.ready()
+    assert not response.ready()
     entry.state.table = RoutingTable(CONFIGURATION)
     entry.callers.on_first_configuration(FirstConfiguration())
-    assert asked.get() == ("200 OK", {"pending": 0})
+    assert response.get() == ("200 OK", {"pending": 0})
     assert entry.counted == []
 
 
-def test_without_a_configuration_for_long_a_request_is_refused_at_once(entry):
+def test_a_request_is_refused_after_the_first_configuration_timeout(entry):
     entry.clock.advance(FIRST_CONFIGURATION_TIMEOUT)
     status, body = entry.get()
     assert status.startswith("503")
@@ -118,27 +117,26 @@
     assert entry.counted == [RefusalReason.NO_CONFIGURATION]
 
 
-def test_a_request_that_waits_for_the_configuration_is_answered_at_a_stop(entry):
-    asked = gevent.spawn(entry.get)
+def test_a_stop_answers_a_request_that_waits_for_the_configuration(entry):
+    response = gevent.spawn(entry.get)
     gevent.sleep(0)
     entry.callers.abort_all()
-    status, body = asked.get()
+    status, body = response.get()
     assert status.startswith("503")
     assert body["reason"] == RefusalReason.STOPPING.value
 
 
 @pytest.mark.parametrize("has_left", [True, False])
 def test_a_job_whose_caller_left_before_it_was_read_does_not_start(entry, has_left):
-    """An entry is paused, and a caller sends a job, waits in vain, and has sent it
-    through another entry when this one goes on and reads both the request and the end
-    of its connection. Started here, the task ran twice at once until it was withdrawn.
+    """A paused entry must not start a job whose caller has resubmitted it to another
+    entry meanwhile, or a task runs twice at once.
     """
     entry.state.table = RoutingTable(CONFIGURATION)
-    here, caller = socketpair()
-    with here, caller:
+    connection, caller = socketpair()
+    with connection, caller:
         if has_left:
             caller.close()
-        submitted = gevent.spawn(entry.submit, here)
+        submitted = gevent.spawn(entry.submit, connection)
         gevent.sleep(0)
         arrived = [event for event in entry.posted if isinstance(event, JobArrived)]
         assert len(arrived) == (0 if has_left else 1)
@@ -147,28 +145,28 @@
     assert entry.counted == ([RefusalReason.CALLER_LEFT] if has_left else [])
 
 
-def test_an_entry_that_is_behind_refuses_a_job_unread(entry):
-    """Reading and checking a job costs what an entry that is behind lacks."""
+def test_an_overloaded_entry_refuses_a_job_without_parsing_it(entry):
+    """Parsing a job would cost time that an overloaded entry lacks."""
     entry.state.table = RoutingTable(CONFIGURATION)
     assert entry.post(JOB_ID)[1]["reason"] == RefusalReason.NOT_SUPPORTED.value
-    entry.fall_behind()
+    entry.overload()
     status, body = entry.post(JOB_ID)
     assert status.startswith("503")
     assert body["reason"] == RefusalReason.ENTRY_BEHIND.value
     assert entry.counted[-1] is RefusalReason.ENTRY_BEHIND
 
 
-def test_a_copy_of_a_job_that_runs_here_is_not_refused_unread(entry):
-    """Told "not run", its caller would take a job for lost that may yet be done."""
+def test_an_overloaded_entry_parses_the_resubmission_of_a_running_job(entry):
+    """The caller must not be told "not run" about a job that may still complete."""
     entry.state.table = RoutingTable(CONFIGURATION)
-    entry.fall_behind()
+    entry.overload()
     entry.state.jobs[JOB_ID] = None
     assert entry.post(JOB_ID)[1]["reason"] == RefusalReason.NOT_SUPPORTED.value
 
 
-def test_an_entry_that_is_cut_off_and_behind_claims_nothing(entry):
-    """Refused with "not run", its caller would not go to an entry that can serve it."""
+def test_an_isolated_and_overloaded_entry_parses_a_job(entry):
+    """An answer "not run" would keep the caller from resubmitting to another entry."""
     entry.state.table = RoutingTable(CONFIGURATION)
-    entry.fall_behind()
+    entry.overload()
     entry.state.isolated = True
     assert entry.post(JOB_ID)[1]["reason"] == RefusalReason.NOT_SUPPORTED.value
--- a/tests/platform/test_decoding.py
+++ b/tests/platform/test_decoding.py
@@ -1,4 +1,4 @@
-"""What the platform sends, decoded into the product's types; spoiled input is named."""
+"""Tests of decoding the platform's formats, and of errors for invalid input."""
 
 import json
 from datetime import timedelta
@@ -30,7 +30,7 @@
     return parse_job(JOB_ID, json.dumps(body).encode())
 
 
-def test_a_job_with_all_that_a_step_may_say():
+def test_a_job_with_all_fields_of_a_step():
     step = {
         "count": 4,
         "cpu": 500,
@@ -52,7 +52,7 @@
 
 
 @pytest.mark.parametrize(
-    "spoiled",
+    "invalid",
     [
         [],
         None,
@@ -71,8 +71,8 @@
         job_body(steps=[{"count": 1, "affinity": 3}]),
     ],
 )
-def test_a_spoiled_job_is_refused_with_a_sentence(spoiled):
-    error = parse(spoiled).failure()
+def test_an_invalid_job_is_refused_with_a_message(invalid):
+    error = parse(invalid).failure()
     assert str(error) and not isinstance(error, Unsupported)
 
 
@@ -85,31 +85,31 @@
         {"steps": [{"count": 2, "gang": True}]},
     ],
 )
-def test_a_kind_of_job_that_is_not_served_is_told_apart(more):
+def test_an_unsupported_job_is_distinguished_from_an_invalid_one(more):
     assert isinstance(parse(job_body(**more)).failure(), Unsupported)
 
 
 @given(ANY_JSON)
-def test_no_json_ends_the_process(value):
+def test_no_json_raises(value):
     parse_job(JOB_ID, json.dumps(value).encode())
     parse_registration("w1", json.dumps(value).encode())
     parse_configuration(json.dumps(value))
 
 
 @given(st.binary(max_size=50))
-def test_no_bytes_end_the_process(body):
+def test_no_bytes_raise(body):
     parse_job(JOB_ID, body)
     parse_registration("w1", body)
 
 
 @given(st.sampled_from(sorted(job_body()["steps"][0])), ANY_JSON)
-def test_a_field_of_another_type_is_a_sentence_or_a_job(name, value):
+def test_a_field_of_the_wrong_type_gives_a_message_or_a_job(name, value):
     step = {**job_body()["steps"][0], name: value}
     parsed = parse(job_body(steps=[step]))
     assert is_successful(parsed) or str(parsed.failure())
 
 
-def test_ids_and_names():
+def test_job_ids_and_task_names():
     assert is_job_id(JOB_ID)
     assert not is_job_id(JOB_ID.upper())
     assert not is_job_id(JOB_ID + "0")
@@ -126,10 +126,10 @@
     assert parsed.limits.body_bytes == 262144
 
 
-def test_a_configuration_without_a_field_names_it():
-    spoiled = configuration(7)
-    del spoiled["limits"]["max_body_bytes"]
-    assert "max_body_bytes" in parse_configuration(json.dumps(spoiled)).failure()
+def test_a_missing_configuration_field_is_named():
+    invalid = configuration(7)
+    del invalid["limits"]["max_body_bytes"]
+    assert "max_body_bytes" in parse_configuration(json.dumps(invalid)).failure()
 
 
 def test_a_heartbeat():
@@ -141,7 +141,7 @@
     assert registration.sequence == 1
 
 
-def test_settings_that_can_not_be_read_name_the_reason(tmp_path):
+def test_unreadable_settings_give_the_reason(tmp_path):
     path = tmp_path / "settings.json"
     assert "No such file" in read_settings(path).failure()
     path.write_text("{")
@@ -169,19 +169,18 @@
 
 
 def test_the_time_budget_follows_the_bounds_of_the_platform(tmp_path):
-    usual = read_settings(sidecar_settings(tmp_path, resend_ms=1300)).unwrap().budget
-    assert usual == DEFAULT_BUDGET
+    default = read_settings(sidecar_settings(tmp_path, resend_ms=1300)).unwrap().budget
+    assert default == DEFAULT_BUDGET
     path = sidecar_settings(tmp_path, resend_ms=700, stop_ms=40, max_hold_ms=250)
-    tight = read_settings(path).unwrap().budget
-    assert tight.tick < usual.tick
-    assert tight.lease == timedelta(milliseconds=250)
-    assert tight.run_expiry + tight.tick <= timedelta(milliseconds=700)
+    short = read_settings(path).unwrap().budget
+    assert short.tick < default.tick
+    assert short.lease == timedelta(milliseconds=250)
+    assert short.run_expiry + short.tick <= timedelta(milliseconds=700)
 
 
-def test_a_deployment_whose_callers_come_back_too_early_is_refused(tmp_path):
-    """Callers send a job again after 300 ms. No process can tell the loss of an entry
-    from a pause of its own in less. Two runs of a task would be at work at once, so no
-    process starts there.
+def test_bounds_with_too_early_resubmission_are_refused(tmp_path):
+    """If callers resubmit before the loss of an entry can be detected, two runs of a
+    task could overlap.
     """
     path = sidecar_settings(tmp_path, resend_ms=300)
     assert "callers come back after 300 ms" in read_settings(path).failure()
--- a/tests/platform/test_entry_store.py
+++ b/tests/platform/test_entry_store.py
@@ -1,4 +1,4 @@
-"""What entries keep of their callers' patience, against the stand-in of the store."""
+"""Tests of storing caller timeouts, with a stand-in store."""
 
 import base64
 import json
@@ -13,8 +13,8 @@
 from gypsumspoke.runs.settings import RunSettings
 from tests.standins.platform_store import PlatformStore
 
-BOUND = 10
-CHECKS = timedelta(milliseconds=2000)
+TIMEOUT_SECONDS = 10
+CALLER_TIMEOUT = timedelta(milliseconds=2000)
 
 
 @pytest.fixture
@@ -47,46 +47,50 @@
         yield store, events
 
 
-def wait_until(holds) -> None:
-    with gevent.Timeout(BOUND):
-        while not holds():
+def wait_until(condition) -> None:
+    with gevent.Timeout(TIMEOUT_SECONDS):
+        while not condition():
             gevent.sleep(0.01)
 
 
-def kept(stand_in, name="front-1"):
+def stored_timeouts(stand_in, name="front-1"):
     """Return an entry's row, or None."""
     _, value = stand_in.rows.get((CALLER_TIMEOUTS_TABLE, name), (0, None))
     return json.loads(base64.b64decode(value)) if value is not None else None
 
 
-def test_what_an_entry_kept_is_read_by_the_next_process(stand_in):
+def test_stored_timeouts_are_read_by_the_next_process(stand_in):
     with entry(stand_in) as (store, events):
         wait_until(lambda: events == [CallerTimeoutsRead(())])
-        store.store_caller_timeouts(StoreCallerTimeouts((("checks", CHECKS),)))
-        wait_until(lambda: kept(stand_in) == {"checks": 2000})
+        store.store_caller_timeouts(StoreCallerTimeouts((("checks", CALLER_TIMEOUT),)))
+        wait_until(lambda: stored_timeouts(stand_in) == {"checks": 2000})
     with entry(stand_in, "front-2") as (_, events):
-        wait_until(lambda: events == [CallerTimeoutsRead(({"checks": CHECKS},))])
+        wait_until(
+            lambda: events == [CallerTimeoutsRead(({"checks": CALLER_TIMEOUT},))]
+        )
 
 
-def test_a_row_that_can_not_be_read_hides_no_other(stand_in):
+def test_a_malformed_row_is_skipped(stand_in):
     stand_in.put(CALLER_TIMEOUTS_TABLE, "front-1", b"{")
     stand_in.put(CALLER_TIMEOUTS_TABLE, "front-2", b'["x"]')
     stand_in.put(CALLER_TIMEOUTS_TABLE, "front-3", b'{"checks": 2000}')
     with entry(stand_in) as (_, events):
-        wait_until(lambda: events == [CallerTimeoutsRead(({"checks": CHECKS},))])
+        wait_until(
+            lambda: events == [CallerTimeoutsRead(({"checks": CALLER_TIMEOUT},))]
+        )
 
 
-def test_the_newest_value_is_written_once_the_store_is_back(stand_in):
-    """The store is away while an entry keeps two values of its row, one after the
-    other. The older one, sent again for as long, could overwrite the newer.
-    """
+def test_the_latest_value_is_written_after_an_outage(stand_in):
+    """A repeated write of an older value must not overwrite a newer one."""
     with entry(stand_in) as (store, events):
         wait_until(lambda: events)
         stand_in.status = 503
-        store.store_caller_timeouts(StoreCallerTimeouts((("checks", CHECKS),)))
+        store.store_caller_timeouts(StoreCallerTimeouts((("checks", CALLER_TIMEOUT),)))
         gevent.sleep(0.05)
-        store.store_caller_timeouts(StoreCallerTimeouts((("checks", 2 * CHECKS),)))
+        store.store_caller_timeouts(
+            StoreCallerTimeouts((("checks", 2 * CALLER_TIMEOUT),))
+        )
         stand_in.status = None
-        wait_until(lambda: kept(stand_in) == {"checks": 4000})
+        wait_until(lambda: stored_timeouts(stand_in) == {"checks": 4000})
         gevent.sleep(0.6)
-        assert kept(stand_in) == {"checks": 4000}
+        assert stored_timeouts(stand_in) == {"checks": 4000}
--- a/tests/platform/test_imports.py
+++ b/tests/platform/test_imports.py
@@ -1,4 +1,4 @@
-"""What a role loads before it serves: each module is time in which nobody is served."""
+"""Tests which modules a role imports: each import delays its start."""
 
 import json
 import os
@@ -7,7 +7,7 @@
 
 import pytest
 
-# Libraries and parts of the project that no role on the platform uses at its start.
+# Modules that no role on the platform needs to start.
 UNUSED = {
     "click",
     "gypsumspoke.core.entry",
@@ -34,12 +34,11 @@
 
 
 @pytest.mark.parametrize("role", ["entry", "sidecar"])
-def test_a_role_loads_only_what_it_uses(role):
-    """All processes are lost at once. Until each has loaded its libraries it takes no
-    job, and callers are late; the command line, the metrics library and an HTTP client
-    with cookies took over half of that time.
+def test_a_role_imports_no_unused_modules(role):
+    """After a loss of all processes no job is accepted until a role has started, so its
+    imports must not grow.
     """
-    # Without the variable that names the settings a role stops once all is loaded.
+    # Without the settings variable a role raises KeyError after its imports.
     environment = {
         name: value
         for name, value in os.environ.items()
--- a/tests/platform/test_processes.py
+++ b/tests/platform/test_processes.py
@@ -1,4 +1,4 @@
-"""The whole path as processes: stand-ins of the store and of workers, two entries."""
+"""End-to-end tests with processes, a stand-in store and stand-in workers."""
 
 import json
 import signal
@@ -8,8 +8,8 @@
 from gevent.socket import create_connection
 
 from tests.platform.system import (
-    BOUND_SECONDS,
     PREFIX,
+    TIMEOUT_SECONDS,
     PlatformSystem,
     configuration,
     job_body,
@@ -27,14 +27,14 @@
     return f"{number:016x}"
 
 
-def test_a_job_through_each_entry_is_completed(system):
+def test_each_entry_completes_a_job(system):
     for number in range(2):
         status, body, _ = system.submit(number, job_id(number), count=3)
         assert (status, body) == (200, {"state": "completed"})
     assert not any(worker.worker.violations for worker in system.workers)
 
 
-def test_bad_requests_are_answered_at_once_and_the_entry_lives(system):
+def test_an_entry_refuses_invalid_requests_and_keeps_serving(system):
     path = PREFIX + job_id(1)
     assert system.call(0, "POST", path, b"{")[0] == 400
     assert system.call(0, "POST", path, b"[]")[0] == 400
@@ -50,9 +50,9 @@
     assert system.submit(0, job_id(2))[0] == 200
 
 
-def test_a_change_of_routes_is_in_force_and_never_goes_back(system):
-    """The operator adds a route, then removes the first one; both entries follow, and
-    go on with the newest configuration while the store is away.
+def test_changed_routes_take_effect_and_are_kept(system):
+    """Both entries must apply an added and a removed route, and keep the latest
+    configuration during an outage of the store.
     """
     system.store.put_json("op", "config", configuration(5, PREFIX, "/new/"))
     for number in range(2):
@@ -80,18 +80,18 @@
         assert int(headers["retry-after"]) >= 1
 
 
-def test_a_restarted_entry_finds_the_sidecars_while_the_store_serves_no_members(system):
-    """An entry is killed and starts again at its address. Sidecars dial addresses, not
-    incarnations, so they are connected again before the store tells anything.
+def test_sidecars_reconnect_to_a_restarted_entry(system):
+    """Sidecars connect to addresses, not incarnations, so a restarted entry needs no
+    change in the store to be reached.
     """
     system.entries[1].kill()
     system.entries[1] = system.start_entry(1)
     system.wait_until_serving()
 
 
-def test_a_new_configuration_reaches_an_entry_that_the_store_turns_away(system):
-    """The store answers one entry only. The other one gets the new configuration from
-    its peer, so that both refuse and allow the same.
+def test_an_entry_gets_the_configuration_from_a_peer_if_the_store_refuses_it(system):
+    """Both entries must apply the same configuration, even if only one of them has
+    read it from the store.
     """
     system.entries[1].kill()
     system.store.put_json("op", "config", configuration(3, PREFIX, "/new/"))
@@ -102,9 +102,9 @@
     assert system.call(1, "GET", "/new/")[0] == 200
 
 
-def test_an_entry_that_stops_answers_what_it_took(system):
-    """SIGTERM comes while a caller waits. The entry is not ready any more, answers the
-    caller, takes requests on open connections for a while, and ends with status 0.
+def test_a_stopping_entry_answers_accepted_jobs(system):
+    """After SIGTERM an entry must become unready, answer waiting callers, still serve
+    open connections, and exit with status 0.
     """
     for worker in system.workers:
         worker._takes = worker._takes * 5
@@ -117,10 +117,8 @@
     assert system.entries[0].wait_exit() == 0
 
 
-def test_a_second_sigterm_cuts_nothing(system):
-    """Two planned stops overlap: SIGTERM comes twice while a caller waits. The second
-    one must not end the process before the caller has its answer.
-    """
+def test_a_second_sigterm_does_not_interrupt_the_stop(system):
+    """A second SIGTERM must not end the process before a waiting caller is answered."""
     for worker in system.workers:
         worker._takes = worker._takes * 10
     waiting = gevent.spawn(system.submit, 0, job_id(1))
@@ -132,9 +130,9 @@
     assert system.entries[0].wait_exit() == 0
 
 
-def test_a_stop_that_lasts_too_long_answers_everybody(system):
-    """A job runs longer than the time that a stop may take. Its caller is told that it
-    was given up, before the platform would kill the process.
+def test_a_stop_that_times_out_answers_all_callers(system):
+    """The caller of a job that outlasts the stop must be answered before the platform
+    would kill the process.
     """
     for worker in system.workers:
         worker._takes = worker._takes * 100
@@ -154,7 +152,7 @@
     assert system.entries[0].wait_exit() == 0
 
 
-def test_a_sidecar_that_is_killed_comes_back_and_serves(system):
+def test_a_job_completes_after_a_sidecar_is_killed_and_restarted(system):
     for worker in system.workers:
         worker._takes = worker._takes * 8
     waiting = gevent.spawn(system.submit, 0, job_id(1), count=4)
@@ -165,7 +163,7 @@
     assert not any(worker.worker.violations for worker in system.workers)
 
 
-def test_a_sidecar_that_stops_lets_its_runs_end(system):
+def test_a_stopping_sidecar_completes_its_runs(system):
     for worker in system.workers:
         worker._takes = worker._takes * 5
     waiting = gevent.spawn(system.submit, 0, job_id(1), count=4)
@@ -177,14 +175,14 @@
     assert len([start for start in starts if start.task.job == job_id(1)]) == 4
 
 
-def test_lost_answers_and_a_crash_of_the_worker_lose_no_job(system):
+def test_jobs_complete_despite_lost_answers_and_a_worker_crash(system):
     system.workers[0].lose_answers = 2
     assert system.submit(0, job_id(1), count=4)[0] == 200
     system.workers[0].crash()
     assert system.submit(0, job_id(2), count=4)[0] == 200
 
 
-def test_a_worker_that_is_silent_or_unhealthy_is_left(system):
+def test_jobs_complete_despite_a_silent_or_unhealthy_worker(system):
     system.workers[0].silent = True
     assert system.submit(0, job_id(1), count=2)[0] == 200
     system.workers[0].silent = False
@@ -194,33 +192,31 @@
     system.wait_until_serving()
 
 
-def test_unreadable_heartbeats_name_no_worker(system):
+def test_invalid_heartbeats_are_refused(system):
     worker = system.workers[0]
     good = worker.heartbeat()
-    for spoiled in (
+    for invalid in (
         {**good, "seq": "x"},
         {**good, "state": "odd"},
         {**good, "capacity": None},
         {**good, "service": 4},
     ):
-        worker.heartbeat = lambda body=spoiled: body
-        assert system.beat(0) == 400
+        worker.heartbeat = lambda body=invalid: body
+        assert system.send_heartbeat(0) == 400
     worker.heartbeat = lambda: {**good, "service": "other", "seq": 10**9}
-    system.beat(0)
+    system.send_heartbeat(0)
     assert system.submit(0, job_id(1), count=4)[0] == 200
 
 
-def test_a_hangup_keeps_everything(system):
+def test_sighup_keeps_processes_serving(system):
     for process in (*system.entries, *system.sidecars):
         process.send_signal(signal.SIGHUP)
         process.wait_for_line("settings read again")
     assert system.submit(0, job_id(1))[0] == 200
 
 
-def test_settings_that_change_without_a_signal_are_read(system, tmp_path):
-    """The file is replaced by one that names other entries, then by a spoiled one.
-    The first is taken, the second is named in the log, and jobs go on.
-    """
+def test_a_changed_settings_file_is_read_without_a_signal(system, tmp_path):
+    """A valid change must be applied; an invalid one must be logged and ignored."""
     path = tmp_path / "side-0.json"
     settings = json.loads(path.read_text())
     path.write_text(json.dumps({**settings, "seeds": ["127.0.0.1:9"]}))
@@ -231,7 +227,7 @@
     assert system.submit(0, job_id(1))[0] == 200
 
 
-def test_a_lost_store_is_logged_once_and_jobs_go_on(system):
+def test_jobs_complete_during_an_outage_of_the_store(system):
     system.store.status = 503
     line = system.entries[0].wait_for_line("store lost")
     assert "503" in line["details"]["reason"]
@@ -240,13 +236,13 @@
     system.entries[0].wait_for_line("store reached again")
 
 
-def test_forgotten_history_is_read_anew(system):
+def test_a_change_is_applied_after_the_store_loses_its_history(system):
     system.store.forget_history()
     system.store.put_json("op", "config", configuration(7, PREFIX, "/new/"))
     system.wait_until(lambda: system.call(0, "GET", "/new/")[0] == 200, "the change")
 
 
-def test_logs_and_metrics_tell_what_became_of_a_job(system):
+def test_logs_and_metrics_report_a_job(system):
     system.submit(0, job_id(77))
     system.submit(0, job_id(78), steps=[])
     entry = [
@@ -267,12 +263,12 @@
     assert "gypsumspoke_job_seconds_bucket" in text
 
 
-def test_a_header_without_end_is_refused_and_the_entry_lives(system):
-    """A client sends a header and never ends it: 3 s later, as the configuration says,
-    it is told that the request is bad, and the connection is closed. Others are served.
+def test_an_incomplete_header_is_refused_after_the_header_timeout(system):
+    """A client that never completes a header must not hold its connection or delay
+    others.
     """
-    with create_connection(system.callers_address(0)) as client:
-        client.settimeout(BOUND_SECONDS)
+    with create_connection(system.caller_address(0)) as client:
+        client.settimeout(TIMEOUT_SECONDS)
         client.sendall(b"POST /checks/0000000000000001 HTTP/1.1\r\nHost: ")
         assert system.submit(0, job_id(2))[0] == 200
         assert client.recv(400).startswith(b"HTTP/1.1 400")
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -1,4 +1,4 @@
-"""The store's client against the stand-in: watches, writes, faults."""
+"""Tests of the store client with a stand-in store: watches, writes, failures."""
 
 from contextlib import closing
 from datetime import timedelta
@@ -10,7 +10,7 @@
 from tests.standins.platform_store import PlatformStore
 
 TABLE = "entries"
-BOUND = 10
+TIMEOUT_SECONDS = 10
 
 
 @pytest.fixture
@@ -21,79 +21,81 @@
 
 @pytest.fixture
 def watching(stand_in):
-    seen = []
-    watch = Watch(TABLE, timedelta(milliseconds=300), lambda rows: seen.append(rows))
+    received = []
+    watch = Watch(
+        TABLE, timedelta(milliseconds=300), lambda rows: received.append(rows)
+    )
     store = Store(stand_in.address, (watch,))
     store.start()
     with closing(store):
-        yield store, seen
+        yield store, received
 
 
-def wait_until(holds) -> None:
-    with gevent.Timeout(BOUND):
-        while not holds():
+def wait_until(condition) -> None:
+    with gevent.Timeout(TIMEOUT_SECONDS):
+        while not condition():
             gevent.sleep(0.01)
 
 
-def test_rows_that_were_there_and_changes_are_seen(stand_in, watching):
-    _, seen = watching
-    wait_until(lambda: seen)
+def test_a_watch_receives_changes(stand_in, watching):
+    _, received = watching
+    wait_until(lambda: received)
     stand_in.put(TABLE, "a", b"1")
-    wait_until(lambda: seen[-1] == {"a": b"1"})
+    wait_until(lambda: received[-1] == {"a": b"1"})
     stand_in.put(TABLE, "b", b"2")
-    wait_until(lambda: seen[-1] == {"a": b"1", "b": b"2"})
+    wait_until(lambda: received[-1] == {"a": b"1", "b": b"2"})
     stand_in.put(TABLE, "a", None)
-    wait_until(lambda: seen[-1] == {"b": b"2"})
+    wait_until(lambda: received[-1] == {"b": b"2"})
 
 
-def test_many_rows_come_in_pages(stand_in):
+def test_a_table_of_several_pages_is_read_whole(stand_in):
     for number in range(1200):
         stand_in.put(TABLE, f"k{number:04d}", b"x")
-    seen = []
-    store = Store(stand_in.address, (Watch(TABLE, timedelta(0), seen.append),))
+    received = []
+    store = Store(stand_in.address, (Watch(TABLE, timedelta(0), received.append),))
     store.start()
     with closing(store):
-        wait_until(lambda: seen and len(seen[0]) == 1200)
+        wait_until(lambda: received and len(received[0]) == 1200)
 
 
-def test_forgotten_history_is_read_anew(stand_in, watching):
-    _, seen = watching
-    wait_until(lambda: seen)
+def test_the_table_is_read_again_after_its_history_is_lost(stand_in, watching):
+    _, received = watching
+    wait_until(lambda: received)
     stand_in.forget_history()
     stand_in.put(TABLE, "a", b"1")
-    wait_until(lambda: seen[-1] == {"a": b"1"})
+    wait_until(lambda: received[-1] == {"a": b"1"})
 
 
 @pytest.mark.parametrize("status", [503, 429])
-def test_a_refusing_store_is_asked_seldom_and_found_again(stand_in, watching, status):
-    """The store turns this process away for a second. It is asked a few times only,
-    since calls are priced, and what changed meanwhile is seen afterwards.
+def test_few_calls_are_made_while_the_store_refuses_them(stand_in, watching, status):
+    """Calls are priced, so an outage must not bring many; changes made during the
+    outage are received afterwards.
     """
-    _, seen = watching
-    wait_until(lambda: seen)
+    _, received = watching
+    wait_until(lambda: received)
     stand_in.status = status
     stand_in.put(TABLE, "a", b"1")
     before = len(stand_in.calls)
     gevent.sleep(1)
     assert len(stand_in.calls) - before <= 4
     stand_in.status = None
-    wait_until(lambda: seen[-1] == {"a": b"1"})
+    wait_until(lambda: received[-1] == {"a": b"1"})
 
 
-def test_a_silent_connection_is_given_up(stand_in, watching):
-    """The store's answers stop coming without a sign. The call is given up after its
-    wait and time-out, and a new connection sees the change.
+def test_a_silent_connection_is_replaced(stand_in, watching):
+    """A call without an answer must time out, and the change arrive on a new
+    connection.
     """
-    _, seen = watching
-    wait_until(lambda: seen)
+    _, received = watching
+    wait_until(lambda: received)
     stand_in.silent = True
     stand_in.put(TABLE, "a", b"1")
     gevent.sleep(1.5)
     stand_in.silent = False
-    wait_until(lambda: seen[-1] == {"a": b"1"})
+    wait_until(lambda: received[-1] == {"a": b"1"})
 
 
-def test_a_write_whose_answer_is_lost_is_repeated_until_it_is_told(stand_in, watching):
+def test_a_write_is_repeated_until_it_is_confirmed(stand_in, watching):
     store, _ = watching
     stand_in.lose_answers = 2
     store.put(TABLE, "own", b"here")
@@ -101,10 +103,10 @@
     wait_until(lambda: stand_in.value(TABLE, "own") == b"here")
 
 
-def test_an_unreadable_row_hides_no_other(stand_in, watching):
-    _, seen = watching
-    wait_until(lambda: seen)
+def test_a_malformed_row_is_skipped(stand_in, watching):
+    _, received = watching
+    wait_until(lambda: received)
     stand_in.rows[TABLE, "odd"] = (stand_in.version + 1, "%%%")
     stand_in.version += 1
     stand_in.put(TABLE, "a", b"1")
-    wait_until(lambda: seen[-1] == {"a": b"1"})
+    wait_until(lambda: received[-1] == {"a": b"1"})
