--- a/gypsumspoke/shell/__init__.py
+++ b/gypsumspoke/shell/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets, timers and processes around the reducers of ``core``."""
+"""Sockets, timers and processes that run the reducers of ``core`` and ``runs``."""
--- a/gypsumspoke/shell/runtime.py
+++ b/gypsumspoke/shell/runtime.py
@@ -1,9 +1,8 @@
-"""Feeds events to a reducer, one at a time, and carries out its effects.
+"""Event loop that feeds events to a reducer, one at a time, and performs its effects.
 
-Every source of events (peers, timers, HTTP callers, the table, the upstream) only
-appends to one queue; a single greenlet takes from it. So a reducer never runs inside
-itself, needs no locks, and sees the same order in production as in a test that replays
-its events.
+Every source of events (peers, timers, HTTP callers, the table, the upstream) appends
+to one queue, which a single greenlet consumes. So the reducer is never reentered, needs
+no locks, and sees the same order in production as in a test that replays its events.
 """
 
 import logging
@@ -29,43 +28,43 @@
 EXIT_SECOND_SIGNAL = 143
 
 Reduce = Callable[[Any, Any, datetime], list[Effect]]
-Performer = Callable[[Any], None]
+EffectHandler = Callable[[Any], None]
 
 _MAX_EVENTS_PER_TURN = 256
-# Sockets and timers wait for the end of a turn: a few ticks of a slow one, and peers
-# that hear nothing meanwhile close their connections.
+# Sockets and timers are not served during a turn; peers close a connection on which
+# they receive nothing for a few ticks.
 _MAX_TURN_TIME = timedelta(milliseconds=25)
 
 _log = logging.getLogger(__name__)
 
 
 class Table(Protocol):
-    """What the loop asks of the platform's table."""
+    """The client of the platform's table, as the loop uses it."""
 
     def start(self, post: Callable[[Any], None]) -> None:
-        """Begin to answer calls by events."""
+        """Start posting results of calls as events."""
 
     def call(self, effect: ReadRows | WriteRows) -> None:
-        """Queue a call; returns at once."""
+        """Queue a call without blocking."""
 
 
 class Runtime:
-    """The loop around one reducer.
+    """Event loop of one reducer.
 
     Args:
       reduce: the role's reducer.
-      state: its state.
-      clock: source of the ``now`` of each event.
+      state: the reducer's state.
+      clock: source of the ``now`` passed with each event.
       links: connections to peers.
-      table: client of the platform's table; None for a role that has none.
-      drain_timeout: bound on a graceful stop; None for no bound.
+      table: client of the platform's table; None for a role without one.
+      drain_timeout: maximum duration of a graceful stop; None for no limit.
       is_draining: whether the reducer has begun a graceful stop, which an operator
-        or another process may have asked for; None when only SIGTERM can.
-      ends_on_second_signal: whether a second SIGTERM ends the process at once. Where
-        two planned stops may overlap, it would cut what the first one waits for.
-      tick: how often the reducer is told that time has passed.
-      in_turns: whether the reducer is told when each event had arrived, and when a
-        turn has ended.
+        or another process may request; None when only SIGTERM can.
+      ends_on_second_signal: whether a second SIGTERM ends the process immediately.
+        False where planned stops may overlap: the second would abort the first.
+      tick: interval between Tick events.
+      in_turns: whether events are wrapped in ``Timed`` with their arrival times, and
+        each turn ends with a ``TurnEnded`` event.
     """
 
     def __init__(
@@ -99,7 +98,7 @@
         self._ends_on_second_signal = ends_on_second_signal
         self._drain_timer: gevent.Greenlet | None = None
         self._status: int | None = None
-        self._performers: dict[type, list[Performer]] = {
+        self._handlers: dict[type, list[EffectHandler]] = {
             Send: [self._send],
             Exit: [self._on_exit],
         }
@@ -109,7 +108,7 @@
 
     @property
     def state(self) -> Any:
-        """The reducer's state, to be read by health checks."""
+        """The reducer's state, for health checks."""
         return self._state
 
     @property
@@ -117,22 +116,22 @@
         """Whether a graceful stop has begun."""
         return self._draining
 
-    def add_handler(self, effect_type: type, performer: Performer) -> None:
-        """Have effects of this type carried out by one more function.
+    def add_handler(self, effect_type: type, handler: EffectHandler) -> None:
+        """Add a handler for effects of one type.
 
         Args:
           effect_type: type of effect.
-          performer: called with the effect; must not block.
+          handler: called with the effect; must not block.
         """
-        self._performers.setdefault(effect_type, []).append(performer)
+        self._handlers.setdefault(effect_type, []).append(handler)
 
     def post(self, event: Any) -> None:
-        """Queue an event; safe from any greenlet and returns at once."""
+        """Queue an event without blocking; safe from any greenlet."""
         self._events.append((self._watch.arrival, event))
         self._pending.set()
 
     def drain(self) -> None:
-        """Begin a graceful stop, as SIGTERM does; a second call ends the loop."""
+        """Begin a graceful stop, as SIGTERM does; a second call may end the loop."""
         if self._draining and not self._ends_on_second_signal:
             return
         if self._draining:
@@ -144,7 +143,7 @@
         self.post(Drain())
 
     def _start_drain_timer(self) -> None:
-        """Start the bound on a graceful stop, once."""
+        """Start the timer that bounds a graceful stop, unless it runs already."""
         if self._drain_timer is None and self._drain_timeout is not None:
             seconds = self._drain_timeout.total_seconds()
             self._drain_timer = gevent.spawn_later(
@@ -155,8 +154,8 @@
         """Reduce events until the graceful stop is complete.
 
         Returns:
-          The exit status: 0 after a graceful stop, 75 when it took too long, 143
-          after a second SIGTERM, 70 after an error in the reducer.
+          The exit status: 0 after a graceful stop, 75 when it exceeded its timeout,
+          143 after a second SIGTERM, 70 after an exception in the reducer.
         """
         on_signal = gevent.signal_handler(signal.SIGTERM, self.drain)
         ticker = gevent.spawn(self._tick)
@@ -201,28 +200,28 @@
         if isinstance(event, Tick):
             self._tick_queued = False
             for effect in self._lag.report(now, len(self._events)):
-                self._perform(effect)
-        given = Timed(arrival, event) if self._in_turns else event
+                self._dispatch(effect)
+        reduced = Timed(arrival, event) if self._in_turns else event
         try:
-            effects = self._reduce(self._state, given, now)
+            effects = self._reduce(self._state, reduced, now)
         except Exception:
-            # The state may be half changed, and a promise kept in it broken without a
-            # sign. Ending is safe: peers treat it as any other death of a process.
+            # The state may be inconsistent. Exiting is safe: peers treat it like any
+            # other crash of a process.
             _log.exception(
                 {"message": "reducer failed", "details": {"on": type(event).__name__}}
             )
             self._stop(EXIT_INTERNAL)
             return
         for effect in effects:
-            self._perform(effect)
+            self._dispatch(effect)
 
-    def _perform(self, effect: Effect) -> None:
-        for performer in self._performers.get(type(effect), ()):
+    def _dispatch(self, effect: Effect) -> None:
+        for handler in self._handlers.get(type(effect), ()):
             try:
-                performer(effect)
+                handler(effect)
             except Exception:
-                # One failed log line or metric must not end the process or keep the
-                # effects behind it from being carried out.
+                # A failed log line or metric must neither end the process nor prevent
+                # the remaining effects.
                 _log.exception(
                     {
                         "message": "effect failed",
@@ -242,7 +241,7 @@
 
     def _tick(self) -> None:
         while True:
-            # After a pause or under load ticks would pile up and be reduced in a row.
+            # At most one tick is queued, so that they do not accumulate under load.
             if not self._tick_queued:
                 self._tick_queued = True
                 self.post(Tick())
@@ -252,10 +251,9 @@
 
 
 def _poll() -> None:
-    """Let the loop look at its sockets and timers once.
+    """Let gevent poll its sockets and timers once.
 
-    A sleep of no length does not: the loop comes back from it many times before it
-    looks.
+    ``gevent.sleep(0)`` is not enough: it may return many times without a poll.
     """
     hub = gevent.get_hub()
     with hub.loop.timer(0) as timer:
