--- a/gypsumspoke/shell/run_entry.py
+++ b/gypsumspoke/shell/run_entry.py
@@ -1,4 +1,4 @@
-"""The process of an entry that coordinates best-effort jobs."""
+"""Entry process of best-effort jobs: servers, store and loop of the coordinator."""
 
 from collections.abc import Callable
 from contextlib import ExitStack, closing
@@ -32,23 +32,23 @@
 
 
 class EntryStorePort(StorePort, Protocol):
-    """What an entry asks of the store."""
+    """The store, as an entry uses it."""
 
     def store_caller_timeouts(self, effect: StoreCallerTimeouts) -> None:
         """Keep what was learned of callers; returns at once."""
 
 
 class EntryAdapter(NamedTuple):
-    """How an entry meets the world around it.
+    """Factories of the platform-specific parts of an entry.
 
     Attributes:
-      parse_configuration: reads a configuration's text.
+      parse_configuration: parses the text of a configuration.
       open_callers: makes the WSGI application towards callers, with ``deliver``,
         ``on_first_configuration`` and ``abort_all``, from the functions that post an
         event and count a refusal, the clock and the state.
-      readiness: makes the WSGI application that tells whether this entry is ready.
+      readiness: makes the WSGI application that reports whether the entry is ready.
       open_store: makes the store's client from the settings and the post function.
-      settings_file: the settings, to be read again.
+      settings_file: the settings file, for reloads.
     """
 
     parse_configuration: Callable[[str], Result[Configuration, str]]
@@ -68,9 +68,9 @@
 
     Args:
       settings: settings of this process.
-      clock: steady clock.
-      adapter: the world around it.
-      listeners: ports that listen already.
+      clock: monotonic clock.
+      adapter: platform-specific parts.
+      listeners: sockets that listen already.
 
     Returns:
       The exit status; see ``Runtime.run``.
--- a/gypsumspoke/shell/run_role.py
+++ b/gypsumspoke/shell/run_role.py
@@ -1,4 +1,4 @@
-"""What both roles of best-effort jobs open: peers, metrics, the reducer's loop."""
+"""Start-up shared by both roles of best-effort jobs: peers, metrics, event loop."""
 
 import logging
 import os
@@ -23,34 +23,36 @@
 from gypsumspoke.wire.hello import PROTOCOL_VERSION, Hello
 from gypsumspoke.wire.links import PeerLinks
 
-# Reports and pulses pass several times a second, so a connection without bytes for this
-# long is dead; a new one is made before the entry's runs would be stopped for good.
+# Reports and pulses are sent several times a second, so a connection silent for this
+# long is dead; it is replaced before the entry's runs would be stopped.
 MAX_SILENCE = timedelta(milliseconds=750)
-# Best-effort jobs have no homes; a process that has some is refused as a peer.
+# Best-effort jobs have no homes. The hello carries this count, so processes with homes
+# are refused as peers.
 _PARTITIONS = 0
-# The reducers end a stop by themselves; this bounds one that does not.
+# A stop that the reducer does not end by itself ends this long before the platform
+# kills the process.
 _KILL_MARGIN = timedelta(milliseconds=300)
 
 _log = logging.getLogger(__name__)
 
 
 class StorePort(Protocol):
-    """What a role asks of the store."""
+    """The store, as a role uses it."""
 
     def start(self) -> None:
-        """Begin to post what is in the store."""
+        """Start posting the contents of the store as events."""
 
     def close(self) -> None:
-        """Stop."""
+        """Stop the client."""
 
 
 class RunContext(NamedTuple):
     """Peers and metrics of one process.
 
     Attributes:
-      incarnation: unique name of this start; begins with the instance's name.
+      incarnation: unique id of this start; begins with the instance's name.
       links: connections to peers.
-      dialler: keeps connections to entries.
+      dialler: maintains connections to entries.
       metrics: metrics of this process.
     """
 
@@ -67,14 +69,14 @@
     listeners: EarlyListeners,
     stack: ExitStack,
 ) -> RunContext:
-    """Draw an identity and listen for peers, if the role does.
+    """Generate an incarnation and listen for peers, if the role accepts them.
 
     Args:
       settings: settings of this process.
-      role: name of the role, shown in metrics.
-      clock: steady clock.
-      listeners: ports that listen already; closed with the stack.
-      stack: closes what is opened.
+      role: name of the role, for metrics.
+      clock: monotonic clock.
+      listeners: sockets that listen already; closed with the stack.
+      stack: closes the resources opened here.
 
     Raises:
       OSError: the port can't be bound.
@@ -100,14 +102,14 @@
     clock: Clock,
     in_turns: bool = False,
 ) -> Runtime:
-    """Return the loop around a reducer, with what both roles carry out.
+    """Return the event loop of a reducer with the handlers that both roles share.
 
     Args:
       settings: settings of this process.
       context: peers and metrics.
       reduce: the role's reducer.
-      state: its state.
-      clock: steady clock.
+      state: the reducer's state.
+      clock: monotonic clock.
       in_turns: see ``Runtime``.
     """
     runtime = Runtime(
@@ -139,15 +141,15 @@
     settings_file: SettingsFile,
     stack: ExitStack,
 ) -> int:
-    """Start all parts and run the loop.
+    """Start all parts and run the event loop.
 
     Args:
-      runtime: the loop.
-      context: peers.
-      store: started, and closed with the stack.
-      to_dial: entries to connect to at first.
-      settings_file: looked at on SIGHUP and every few seconds.
-      stack: closes what is opened.
+      runtime: the event loop.
+      context: peers and metrics.
+      store: started here, closed by the stack.
+      to_dial: initial addresses of entries.
+      settings_file: reread on SIGHUP and checked periodically.
+      stack: closes the resources opened here.
 
     Returns:
       The exit status; see ``Runtime.run``.
--- a/gypsumspoke/shell/run_sidecar.py
+++ b/gypsumspoke/shell/run_sidecar.py
@@ -1,4 +1,4 @@
-"""The process of a sidecar that guards a worker running best-effort jobs."""
+"""Sidecar process of best-effort jobs: servers, store and loop of the supervisor."""
 
 from collections.abc import Callable
 from contextlib import ExitStack, closing
@@ -24,14 +24,14 @@
 
 
 class SidecarAdapter(NamedTuple):
-    """How a sidecar meets the world around it.
+    """Factories of the platform-specific parts of a sidecar.
 
     Attributes:
       open_worker: makes the worker's client from its address, the function that posts
         an event, and the clock.
-      registration: makes the WSGI application that takes the worker's heartbeats.
+      registration: makes the WSGI application that receives the worker's heartbeats.
       open_store: makes the store's client from the settings and the post function.
-      settings_file: the settings, to be read again.
+      settings_file: the settings file, for reloads.
     """
 
     open_worker: Callable[..., Any]
@@ -50,9 +50,9 @@
 
     Args:
       settings: settings of this process.
-      clock: steady clock.
-      adapter: the world around it.
-      listeners: ports that listen already.
+      clock: monotonic clock.
+      adapter: platform-specific parts.
+      listeners: sockets that listen already.
 
     Returns:
       The exit status; see ``Runtime.run``.
