--- a/gypsumspoke/shell/entry.py
+++ b/gypsumspoke/shell/entry.py
@@ -1,4 +1,4 @@
-"""The process of an entry: sockets and timers around ``core/entry_role.py``."""
+"""Entry process: runs the reducer of ``core/entry_role.py`` with its servers."""
 
 from collections.abc import Callable
 from contextlib import ExitStack, closing
@@ -25,8 +25,8 @@
 from gypsumspoke.shell.table_client import TableClient
 
 OPERATOR_PREFIX = "/v1/"
-# The reducer ends a stop that takes too long by itself, with an answer to everybody
-# who waits; the runtime's bound is for a reducer that doesn't.
+# The reducer itself ends a stop that exceeds its timeout and answers all waiting
+# callers; the runtime allows this much more before it ends the process.
 _REDUCER_STOP_TIMEOUT = timedelta(seconds=5)
 
 
@@ -48,10 +48,10 @@
 
 
 def _open(settings: Settings, clock: Clock, stack: ExitStack) -> Runtime:
-    """Bind the ports and put the parts together; the stack closes them."""
+    """Bind the ports and connect the parts; the stack closes them."""
     identity, links, peer_port, own_metrics = open_peer_context(settings, clock, stack)
-    # The admin port must be bound before the member, and so the state, is known.
-    # Nothing is served until the loop runs, and by then state and runtime are there.
+    # The member, and so the state, needs the bound admin port. The lambdas resolve
+    # state and runtime later; nothing is served before the loop runs.
     operators = _open_operators(
         settings,
         clock,
@@ -109,7 +109,7 @@
     count: Callable[[Count], None],
     stack: ExitStack,
 ) -> OperatorHttp:
-    """Return the operators' interface, with a table client of its own."""
+    """Return the operators' HTTP interface with its own table client."""
     table = stack.enter_context(closing(OperatorTable(_table_client(settings))))
     return OperatorHttp(table, view, post, count, clock)
 
@@ -121,7 +121,7 @@
     runtime: Runtime,
     own_metrics: metrics.Metrics,
 ) -> CallerServer:
-    """Start the callers' port and join it to the runtime."""
+    """Start the callers' server and connect it to the runtime."""
     application = EntryHttp(
         runtime.post,
         own_metrics.count,
--- a/gypsumspoke/shell/role.py
+++ b/gypsumspoke/shell/role.py
@@ -1,4 +1,4 @@
-"""What both roles do at their start: who they are, and whom they can reach."""
+"""Start-up shared by both roles: identity, connections to peers, membership row."""
 
 import logging
 import os
@@ -25,11 +25,11 @@
 
 
 class Identity(NamedTuple):
-    """What is drawn at random once for each start of a process.
+    """Random values generated at each start of a process.
 
     Attributes:
-      incarnation: unique name, which begins with the worker's.
-      seed: for all random choices of the reducers and of reconnects.
+      incarnation: unique id of this start; begins with the worker's name.
+      seed: seeds the random choices of reducers and reconnects.
     """
 
     incarnation: str
@@ -37,13 +37,13 @@
 
 
 class PeerContext(NamedTuple):
-    """What a process opens towards its peers before it is anything else.
+    """Connections to peers and metrics of one process.
 
     Attributes:
       identity: identity of this start.
       links: connections to peers, listening.
-      peer_port: the port they listen on.
-      metrics: metrics of this process, which show what the links count.
+      peer_port: port on which the links listen.
+      metrics: metrics of this process, including those of the links.
     """
 
     identity: Identity
@@ -55,7 +55,7 @@
 def open_peer_context(
     settings: Settings, clock: Clock, stack: ExitStack
 ) -> PeerContext:
-    """Draw an identity and listen for peers.
+    """Generate an identity and listen for peers.
 
     Args:
       settings: checked settings.
@@ -98,12 +98,12 @@
     admin_port: int,
     now: datetime,
 ) -> Member:
-    """Return the row with which this process registers.
+    """Return the membership row of this process.
 
     Args:
       settings: checked settings.
       identity: identity of this start.
-      peer_port, admin_port: the ports it is bound to.
+      peer_port, admin_port: bound ports.
       now: the current time.
     """
     return Member(
@@ -127,14 +127,14 @@
     membership_of: Callable[[Any], membership.MembershipState],
     links: PeerLinks,
 ) -> Reduce:
-    """Return a reducer that gives new addresses to the links before its effects.
+    """Return a reducer that updates the links' addresses before effects are performed.
 
-    A step that learns of a member may send to it in the same step. Were the address
-    set afterwards, that message, a fence for example, would be lost.
+    An event that adds a member may also produce a message to it, a fence for example,
+    which would be lost if its address were set afterwards.
 
     Args:
       reduce: the role's reducer.
-      membership_of: returns the membership part of the role's state.
+      membership_of: returns the membership state within the role's state.
       links: connections to peers.
     """
     known_version = -1
@@ -152,5 +152,5 @@
 
 
 def log_listening(**ports: int) -> None:
-    """Write the log line that names the bound ports; ports may be 0 in settings."""
+    """Log the bound ports, which the settings may leave to the kernel as 0."""
     _log.info({"message": "listening", "details": ports})
--- a/gypsumspoke/shell/sidecar.py
+++ b/gypsumspoke/shell/sidecar.py
@@ -1,4 +1,4 @@
-"""The process beside an upstream: sockets and timers around ``core/sidecar.py``."""
+"""Sidecar process: runs the reducer of ``core/sidecar.py`` beside an upstream."""
 
 from contextlib import ExitStack, closing
 
@@ -39,10 +39,10 @@
 
 
 def _open(settings: Settings, clock: Clock, stack: ExitStack) -> Runtime:
-    """Bind the ports and put the parts together; the stack closes them."""
+    """Bind the ports and connect the parts; the stack closes them."""
     identity, links, peer_port, own_metrics = open_peer_context(settings, clock, stack)
-    # The admin port must be bound before the member, and so the state, is known.
-    # Nothing is served until the loop runs, and by then all parts are there.
+    # The member, and so the state, needs the bound admin port. The lambdas resolve
+    # state, runtime and upstream later; nothing is served before the loop runs.
     announcements = UpstreamHttp(
         lambda: state,
         lambda event: runtime.post(event),
@@ -87,7 +87,7 @@
 def _install_upstream(
     settings: Settings, state: sidecar.SidecarState, runtime: Runtime
 ) -> UpstreamClient:
-    """Let tasks run at the upstream, within the bounds of the manifest in force."""
+    """Connect the upstream client and keep its limits in step with the manifest."""
     upstream = UpstreamClient(
         (settings.upstream_host, settings.upstream_port), runtime.post
     )
