--- a/gypsumspoke/shell/caller_server.py
+++ b/gypsumspoke/shell/caller_server.py
@@ -1,7 +1,7 @@
-"""The HTTP server towards callers, around any WSGI application.
+"""HTTP server for callers.
 
-It bounds what a client can cost, and on a stop lets every answer under way be written.
-It knows nothing of jobs, so that both kinds of entry share it and import no more.
+It limits the resources that a client can occupy, and on a stop lets answers in progress
+complete. It does not depend on jobs, so both kinds of entry use it.
 """
 
 import logging
@@ -23,8 +23,7 @@
 SOCKET_KEY = "gypsumspoke.socket"
 MAX_CONNECTIONS = 3_000
 IDLE_TIMEOUT_SECONDS = 60.0
-# From the end of a request's first line to the end of its header, where no
-# configuration says otherwise: a header comes in one packet or two.
+# Default time from the end of the request line to the end of the header.
 HEADER_TIMEOUT = timedelta(seconds=10)
 MAX_DISCARDED_BYTES = 16 * 1024 * 1024
 DISCARD_TIMEOUT_SECONDS = 5.0
@@ -33,13 +32,13 @@
 
 
 class CallerServer:
-    """The HTTP server around the application.
+    """Serves a WSGI application to callers.
 
     Args:
       host, port: where to listen; port 0 takes any free one.
       application: the WSGI application.
-      header_timeout: returns how long a request's header may take.
-      listener: a socket that listens there already, if there is one.
+      header_timeout: returns the current timeout for reading a request's header.
+      listener: socket that listens on the address already, if any.
     """
 
     def __init__(
@@ -64,26 +63,26 @@
 
     @property
     def port(self) -> int:
-        """TCP port it listens on, once started."""
+        """TCP port, available once started."""
         return self._server.server_port
 
     def start(self) -> None:
-        """Listen and serve on the loop.
+        """Listen and serve on the event loop.
 
         Raises:
-          OSError: the port can't be had.
+          OSError: the port can't be bound.
         """
         self._server.start()
 
     def close(self) -> None:
-        """Stop listening, let every answer under way be written, close the rest."""
+        """Stop listening, let answers in progress complete, close all connections."""
         self._server.stop_accepting()
         self._server.active_requests.wait_idle(STOP_TIMEOUT_SECONDS)
         self._server.stop(timeout=0)
 
 
 class _ActiveRequests:
-    """Counts requests whose answer is not fully written."""
+    """Counts requests whose answer is not completely written."""
 
     def __init__(self) -> None:
         self._count = 0
@@ -100,33 +99,33 @@
             self._idle.set()
 
     def wait_idle(self, seconds: float) -> None:
-        """Wait until no request is under way, for a bounded time."""
+        """Wait until no request is active, for a bounded time."""
         self._idle.wait(seconds)
 
 
 class _HeaderTimeout(Exception):
-    """A request's header did not end in time."""
+    """A request's header was not complete in time."""
 
 
 class _Handler(WSGIHandler):
-    """Bounds what a client can cost: idle connections and bodies nobody wants."""
+    """Limits idle connections, slow headers and unread request bodies."""
 
     def handle(self) -> None:
         self.socket.settimeout(IDLE_TIMEOUT_SECONDS)
         super().handle()
 
     def read_request(self, raw_requestline: str) -> bool:
-        """Read the header, within its bound.
+        """Read the header within its timeout.
 
-        Without it a header that never ends would keep its connection for as long as
-        its sender adds a byte a minute, and the connections are counted.
+        The idle timeout alone would let a client that sends a byte now and then occupy
+        one of the limited connections.
         """
-        bound = self.server.header_timeout().total_seconds()
-        with gevent.Timeout(bound, _HeaderTimeout):
+        seconds = self.server.header_timeout().total_seconds()
+        with gevent.Timeout(seconds, _HeaderTimeout):
             return super().read_request(raw_requestline)
 
     def get_environ(self) -> Environ:
-        """Add the connection, on which an application may notice that a caller left."""
+        """Add the socket, so that the application can detect a disconnect."""
         environ = super().get_environ()
         environ[SOCKET_KEY] = self.socket
         return environ
@@ -142,19 +141,19 @@
             self.close_connection = True
 
     def _discard_rest(self) -> bool:
-        """Read what is left of a refused body, within bounds; return whether all is.
+        """Discard the unread part of a body, within limits; return whether all is read.
 
-        The refusal is written already. Closing with unread bytes would reset the
-        connection, and the client would see that instead of the refusal.
+        Closing a connection with unread bytes resets it, and the client would see the
+        reset instead of the answer that is already written.
         """
         left = MAX_DISCARDED_BYTES
         with gevent.Timeout(DISCARD_TIMEOUT_SECONDS, False):
             try:
                 while left > 0:
-                    piece = self.wsgi_input.read(_DISCARD_CHUNK_BYTES)
-                    if not piece:
+                    chunk = self.wsgi_input.read(_DISCARD_CHUNK_BYTES)
+                    if not chunk:
                         return True
-                    left -= len(piece)
+                    left -= len(chunk)
             except OSError:
                 return False
         return False
--- a/gypsumspoke/shell/disconnects.py
+++ b/gypsumspoke/shell/disconnects.py
@@ -1,4 +1,4 @@
-"""Notices that a caller has closed its connection while its answer is awaited."""
+"""Detects that a caller closes its connection while it waits for an answer."""
 
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
@@ -11,25 +11,25 @@
 
 
 @contextmanager
-def watch_disconnect(sock: socket, on_left: Callable[[], None]) -> Iterator[None]:
-    """Call a function once if the caller leaves inside the block.
+def watch_disconnect(sock: socket, on_disconnect: Callable[[], None]) -> Iterator[None]:
+    """Call a function once if the caller disconnects inside the block.
 
-    A watcher costs less than a greenlet for each request, and neither reads what the
-    caller may already have sent of its next request.
+    A libev watcher is cheaper than a greenlet per request. Bytes of a pipelined request
+    are not consumed.
 
     Args:
       sock: the caller's connection.
-      on_left: called from the loop; must not block.
+      on_disconnect: called from the event loop; must not block.
     """
     watcher = get_hub().loop.io(sock.fileno(), _READABLE)
 
-    def look() -> None:
-        # Bytes of a next request are left alone; they would be readable for ever.
+    def check() -> None:
+        # Unread bytes of a pipelined request would keep the socket readable.
         watcher.stop()
         if is_closed(sock):
-            on_left()
+            on_disconnect()
 
-    watcher.start(look)
+    watcher.start(check)
     try:
         yield
     finally:
--- a/gypsumspoke/shell/entry_http.py
+++ b/gypsumspoke/shell/entry_http.py
@@ -1,8 +1,8 @@
 """The callers' HTTP interface of an entry.
 
-A request becomes one event for the reducer and waits for the one answer with its own
-request id; nothing is decided here. A caller that closes its connection does not cancel
-its job: it may come back through any entry and gets the answer then.
+Each request is posted to the reducer as one event and waits for the answer with its
+request id. Closing the connection does not cancel a job: the caller may fetch the
+answer through any entry later.
 """
 
 import logging
@@ -44,20 +44,21 @@
 from gypsumspoke.shell.waiters import Waiters
 
 JOBS_PATH = "/v1/jobs"
-# The reducer answers every request by its deadline; this only guards against a fault.
+# The reducer answers every request by its deadline. A request still unanswered this
+# much later is reported as an internal error.
 _ANSWER_MARGIN = timedelta(seconds=10)
 
 _log = logging.getLogger(__name__)
 
 
 class EntryHttp:
-    """The WSGI application towards callers.
+    """WSGI application of the callers' interface.
 
     Args:
       post: queues an event for the reducer.
-      count: counts a refusal that never reaches the reducer.
+      count: counts refusals made without the reducer.
       clock: source of arrival times.
-      is_draining: whether connections should be closed after their answer.
+      is_draining: whether connections are closed after their answer.
     """
 
     def __init__(
@@ -74,14 +75,14 @@
         self._waiters = Waiters()
 
     def deliver(self, effect: Deliver) -> None:
-        """Hand an answer to the request that waits for it."""
+        """Pass an answer to the waiting request."""
         self._waiters.deliver(effect.request, effect.answer)
 
     def __call__(self, environ: Environ, start: StartResponse) -> Iterable[bytes]:
         """Answer one HTTP request (WSGI)."""
         answer = self._answer(environ)
         if self._is_draining():
-            # A connection kept open would have its next request cut by the stop.
+            # The stop would cut off a later request on this connection.
             answer = answer._replace(headers=(*answer.headers, ("Connection", "close")))
         return respond(answer, start)
 
@@ -89,7 +90,7 @@
         method = environ["REQUEST_METHOD"]
         path = environ["PATH_INFO"]
         if path == JOBS_PATH:
-            return self._submit(environ) if method == "POST" else self._bad_method()
+            return self._submit(environ) if method == "POST" else self._refuse_method()
         key = _key_of_path(path)
         if key is None:
             return self._refuse(ErrorKind.INVALID_REQUEST, f"no such path: {path}")
@@ -97,7 +98,7 @@
             return job_answer(key, self._ask(partial(QueryArrived, key=key)))
         if method == "DELETE":
             return cancel_answer(key, self._ask(partial(CancelArrived, key=key)))
-        return self._bad_method()
+        return self._refuse_method()
 
     def _submit(self, environ: Environ) -> HttpAnswer:
         try:
@@ -113,18 +114,18 @@
             return self._refuse_body(parsed.failure())
         submission = parsed.unwrap()
         wait = not _prefers_async(environ)
-        patience = submission.deadline - self._clock.now() + DEADLINE_GRACE
+        timeout = submission.deadline - self._clock.now() + DEADLINE_GRACE
         arrived = partial(CallerArrived, submission=submission, wait=wait)
-        return job_answer(submission.key, self._ask(arrived, patience))
+        return job_answer(submission.key, self._ask(arrived, timeout))
 
     def _ask(
-        self, event_for: Callable[[str], Any], patience: timedelta = QUERY_TIMEOUT
+        self, event_for: Callable[[str], Any], timeout: timedelta = QUERY_TIMEOUT
     ) -> Answer:
-        """Post the event of a new request and wait for its answer."""
+        """Post an event with a new request id and wait for the answer."""
         request, result = self._waiters.open()
         try:
             self._post(event_for(request))
-            limit = max(patience, timedelta(0)) + _ANSWER_MARGIN
+            limit = max(timeout, timedelta(0)) + _ANSWER_MARGIN
             return result.get(timeout=limit.total_seconds())
         except gevent.Timeout:
             details = {"request": request}
@@ -144,16 +145,16 @@
         detail = "; ".join(f"{error.path}: {error.reason}" for error in errors)
         return self._refuse(ErrorKind.INVALID_REQUEST, detail, errors=listed)
 
-    def _bad_method(self) -> HttpAnswer:
+    def _refuse_method(self) -> HttpAnswer:
         return self._refuse(ErrorKind.INVALID_REQUEST, "no such method on this path")
 
 
 def _key_of_path(path: str) -> JobKey | None:
-    """Return team and key; the key may hold slashes, a team's name can't."""
+    """Return team and key; only the key may contain slashes."""
     if not path.startswith(JOBS_PATH + "/"):
         return None
     try:
-        # WSGI hands paths over as Latin-1.
+        # WSGI passes paths decoded as Latin-1.
         text = path.removeprefix(JOBS_PATH + "/").encode("latin-1").decode()
     except UnicodeDecodeError:
         return None
--- a/gypsumspoke/shell/http_answers.py
+++ b/gypsumspoke/shell/http_answers.py
@@ -1,4 +1,4 @@
-"""HTTP answers as values, and what every HTTP interface reads and sends alike."""
+"""HTTP answers as values, and helpers shared by the HTTP interfaces."""
 
 import json
 import math
@@ -14,13 +14,13 @@
 
 
 class HttpAnswer(NamedTuple):
-    """A whole HTTP answer.
+    """A complete HTTP answer.
 
     Attributes:
       status: status code.
-      headers: beyond Content-Type and Content-Length.
-      body: JSON text.
-      content_type: type of the body.
+      body: body, JSON text by default.
+      headers: headers besides Content-Type and Content-Length.
+      content_type: media type of the body.
     """
 
     status: int
@@ -30,11 +30,11 @@
 
 
 class TooLarge(Exception):
-    """A request body exceeds its bound."""
+    """A request body exceeds its size limit."""
 
 
 def respond(answer: HttpAnswer, start: StartResponse) -> Iterable[bytes]:
-    """Send an answer by WSGI."""
+    """Return an answer through WSGI."""
     phrase = HTTPStatus(answer.status).phrase
     headers = [
         ("Content-Type", answer.content_type),
@@ -53,11 +53,11 @@
 def read_body(environ: Environ, limit: int) -> bytes:
     """Read a request body of at most ``limit`` bytes.
 
-    The bound is checked before anything is read if the length is declared, and after
-    ``limit`` + 1 bytes if it is not, so an oversized body never takes memory.
+    A declared length is checked before reading; otherwise at most ``limit`` + 1 bytes
+    are read, so an oversized body never occupies memory.
 
     Raises:
-      TooLarge: the body is longer.
+      TooLarge: the body exceeds ``limit``.
       OSError: the body ended early.
     """
     declared = environ.get("CONTENT_LENGTH")
@@ -70,9 +70,9 @@
 
 
 def retry_headers(retry_after: timedelta | None) -> tuple[tuple[str, str], ...]:
-    """Return the Retry-After header, if there is anything to say."""
+    """Return the Retry-After header, or none without a delay."""
     if retry_after is None:
         return ()
-    # The header knows whole seconds only; rounding down would bring callers too early.
+    # The header has whole seconds; rounding down would make callers retry too early.
     seconds = math.ceil(retry_after.total_seconds())
     return (("Retry-After", str(seconds)),)
--- a/gypsumspoke/shell/job_answers.py
+++ b/gypsumspoke/shell/job_answers.py
@@ -1,7 +1,7 @@
-"""Answers about the project's own jobs: JSON for good ones, else problem details.
+"""HTTP form of answers about jobs: JSON for results, problem details for errors.
 
-What stands in a problem comes from the one table of kinds, so that the status, the
-claim about the work and the hint to come back are the same wherever a kind arises.
+Status and title of a problem come from ``ANSWER_RULES``, so that each kind of error
+looks the same wherever it arises.
 """
 
 import base64
@@ -32,7 +32,7 @@
 
 
 def cancel_answer(key: JobKey, answer: Answer) -> HttpAnswer:
-    """Return the HTTP form of the answer to a cancellation; being cancelled is good."""
+    """Return the HTTP form of the answer to a cancellation; cancelled is a success."""
     if answer.kind is ErrorKind.CANCELLED:
         return json_answer({"team": key.team, "key": key.key, **_members(answer)})
     return job_answer(key, answer)
@@ -42,8 +42,8 @@
     """Return the problem details (RFC 9457) of an answer that has a kind.
 
     Args:
-      answer: what to tell.
-      more: further members of the problem.
+      answer: answer with a kind.
+      more: additional members of the problem.
     """
     rule = ANSWER_RULES[answer.kind]
     members = {
@@ -64,12 +64,12 @@
     head = json.dumps(
         {"team": key.team, "key": key.key, "work": answer.work.value}
     ).encode()
-    results = b",".join(_result(result) for result in answer.results)
-    # The results are put in as they came, so that no number changes its digits.
+    results = b",".join(_encode_result(result) for result in answer.results)
+    # Results are inserted verbatim, so that numbers keep their digits.
     return HttpAnswer(HTTPStatus.OK, head[:-1] + b', "results": [' + results + b"]}")
 
 
-def _result(body: bytes) -> bytes:
+def _encode_result(body: bytes) -> bytes:
     try:
         msgspec.json.decode(body)
         return body
