--- a/gypsumspoke/shell/early_listeners.py
+++ b/gypsumspoke/shell/early_listeners.py
@@ -1,10 +1,9 @@
-"""Ports that listen while a process is still loading its libraries.
+"""Sockets that listen while a process is still importing its modules.
 
-Load that it answers: all processes are lost at once and come back, each after some
-tenths of a second of loading. A caller who connects meanwhile was refused, and comes
-back more than a second later, when its job is late; so does a readiness check, a worker
-or a peer. With the port open the connection waits for the process instead. This module
-imports nothing beyond the standard library's sockets for that reason.
+When all processes restart at once, a client that connects before the servers exist
+would be refused and would retry too late for its job. With the port open early, the
+connection waits in the backlog instead. For this reason the module imports only the
+standard library at the top.
 """
 
 import socket
@@ -13,15 +12,15 @@
 
 Address = tuple[str, int]
 
-# As many as may come while a process loads; one more is made to wait by its kernel.
+# Connections that may arrive before the server accepts; more are retried by TCP.
 BACKLOG = 512
 
 
 class EarlyListeners:
-    """Listening sockets, to be taken by the servers that accept from them.
+    """Listening sockets, handed over to the servers that accept from them.
 
     Args:
-      addresses: where to listen. One that can't be had is left to its server, which
+      addresses: where to listen. An address that can't be bound is skipped; its server
         reports the error.
     """
 
@@ -33,18 +32,18 @@
                 self._sockets[address] = listener
 
     def take(self, address: Address) -> Any | None:
-        """Return the socket that listens at an address as one of gevent's, or None."""
-        from gevent import socket as cooperative
+        """Remove and return the socket of an address as a gevent socket, or None."""
+        from gevent import socket as gevent_socket
 
         listener = self._sockets.pop(address, None)
         if listener is None:
             return None
-        return cooperative.socket(
+        return gevent_socket.socket(
             socket.AF_INET, socket.SOCK_STREAM, fileno=listener.detach()
         )
 
     def close(self) -> None:
-        """Close what nobody took."""
+        """Close the sockets that were not taken."""
         while self._sockets:
             _, listener = self._sockets.popitem()
             listener.close()
--- a/gypsumspoke/shell/http_exchange.py
+++ b/gypsumspoke/shell/http_exchange.py
@@ -1,10 +1,10 @@
-"""One HTTP request and its answer on a connection of its own, and never a second try.
+"""HTTP client that sends one request per connection and never retries.
 
-geventhttpclient's ``HTTPClient`` sends a request again when a kept-alive connection
-turns out to be closed. Towards an upstream that would be a second start of a task, and
-towards the table a second transaction whose conflict with the first looks like a
-refusal. So only its response parser is used here. A fresh connection for each request
-also makes "not sent" exact: it is claimed only when the connection was never made.
+geventhttpclient's ``HTTPClient`` resends a request when a kept-alive connection turns
+out to be closed. That could start a task twice at an upstream, or repeat a transaction
+at the table, which would then conflict with itself. Only the package's response parser
+is used here. With a new connection for each request, "not sent" is reported exactly
+when the connection could not be established.
 """
 
 from datetime import timedelta
@@ -23,10 +23,10 @@
 class ExchangeError(Enum):
     """Why there is no answer.
 
-    ``NOT_SENT``: not one byte of the request left. After the others the request may
-    have been carried out. ``TIMEOUT``: no whole answer in time. ``BROKEN``: the
-    connection ended, or what came is not a whole answer. ``TOO_LARGE``: the answer
-    exceeds the bound.
+    ``NOT_SENT``: no byte of the request was sent; after the other errors the request
+    may have taken effect. ``TIMEOUT``: no complete answer in time. ``BROKEN``: the
+    connection ended, or the answer is malformed or incomplete. ``TOO_LARGE``: the
+    answer exceeds the size limit.
     """
 
     NOT_SENT = "not_sent"
@@ -36,12 +36,12 @@
 
 
 class ExchangeLimits(NamedTuple):
-    """Bounds of one exchange.
+    """Limits of one exchange.
 
     Attributes:
-      connect_timeout: bound on making the connection.
-      answer_timeout: bound from then until the whole answer is here.
-      max_answer_bytes: bound on the size of the answer's body.
+      connect_timeout: time to establish the connection.
+      answer_timeout: time from then until the answer is complete.
+      max_answer_bytes: maximum size of the answer's body.
     """
 
     connect_timeout: timedelta
@@ -50,7 +50,7 @@
 
 
 class HttpAnswer(NamedTuple):
-    """Status code and whole body."""
+    """Status code and complete body."""
 
     status: int
     body: bytes
@@ -63,17 +63,17 @@
     body: bytes,
     limits: ExchangeLimits,
 ) -> Result[HttpAnswer, ExchangeError]:
-    """Send one POST and read the whole answer.
+    """Send one POST request and read the answer.
 
     Args:
       address: IP number and port.
       path: absolute path.
-      headers: names and values without line ends; length and host are added.
+      headers: names and values without line breaks; Host and Content-Length are added.
       body: request body.
-      limits: bounds.
+      limits: limits of the exchange.
 
     Returns:
-      The answer whatever its status, or why there is none.
+      The answer, whatever its status, or why there is none.
     """
     sock = socket(AF_INET, SOCK_STREAM)
     try:
@@ -96,12 +96,12 @@
     headers: tuple[tuple[str, str], ...],
     body: bytes,
 ) -> bytes:
-    """Return a whole request.
+    """Return an encoded request.
 
     Args:
       address: IP number and port, for the Host header.
-      method, path: of the request line.
-      headers: names and values without line ends; length and host are added.
+      method, path: for the request line.
+      headers: names and values without line breaks; Host and Content-Length are added.
       body: request body.
     """
     host, port = address
@@ -131,22 +131,22 @@
 
 
 def read_response(
-    response: HTTPSocketResponse, bound: int
+    response: HTTPSocketResponse, max_bytes: int
 ) -> Result[HttpAnswer, ExchangeError]:
-    """Read the body of a response whose header has come.
+    """Read the body of a response whose header is parsed.
 
     Args:
       response: the response.
-      bound: most bytes of the body.
+      max_bytes: maximum size of the body.
     """
-    # Without a declared end, a body that was cut when the server died looks whole, and
-    # the caller would get a partial answer as a complete one.
+    # Without Content-Length or chunked encoding, a body truncated by a crash of the
+    # server would pass for a complete answer.
     if not _has_declared_end(response):
         return Failure(ExchangeError.BROKEN)
     body = bytearray()
     while chunk := response.read(_READ_BYTES):
         body += chunk
-        if len(body) > bound:
+        if len(body) > max_bytes:
             return Failure(ExchangeError.TOO_LARGE)
     return Success(HttpAnswer(response.status_code, bytes(body)))
 
--- a/gypsumspoke/shell/http_parser.py
+++ b/gypsumspoke/shell/http_parser.py
@@ -1,10 +1,9 @@
 """geventhttpclient's response parser, without its clients.
 
-Importing anything of the package runs its ``__init__``, which loads sessions, cookies
-and form uploads. A role uses none of them, and loading them delays its start; where all
-processes are lost at once, that is time in which no caller is served. So the parser is
-imported beside an empty package, which gives way to the whole one for whoever imports
-that later.
+Importing the package runs its ``__init__``, which loads sessions, cookies and form
+uploads. They are not used here and would delay the start of every process. The parser
+is therefore imported with an empty placeholder for the package, which is removed
+afterwards so that a later import loads the real one.
 """
 
 import importlib
@@ -17,7 +16,7 @@
 
 
 def _import_parser() -> ModuleType:
-    """Import the parser's module only.
+    """Import only the parser's module.
 
     Raises:
       ModuleNotFoundError: the package is not installed.
--- a/gypsumspoke/shell/http_servers.py
+++ b/gypsumspoke/shell/http_servers.py
@@ -1,4 +1,4 @@
-"""HTTP servers of a role that runs best-effort jobs."""
+"""HTTP servers of the roles of best-effort jobs: metrics, readiness, registration."""
 
 import logging
 from contextlib import ExitStack
@@ -16,7 +16,6 @@
 )
 from gypsumspoke.shell.early_listeners import EarlyListeners
 
-# Readiness checks come once a second, heartbeats each second or two.
 _MAX_CONNECTIONS = 32
 
 
@@ -26,12 +25,12 @@
     listeners: EarlyListeners,
     stack: ExitStack,
 ) -> None:
-    """Serve an application that a handful of clients call.
+    """Serve an application for few clients, such as readiness checks or heartbeats.
 
     Args:
       address: where to listen.
       application: WSGI application.
-      listeners: ports that listen already.
+      listeners: sockets that listen already.
       stack: closes the server.
 
     Raises:
@@ -53,12 +52,12 @@
 def open_metrics(
     address: Address, metrics: MetricsRenderer, is_ready, stack: ExitStack
 ) -> None:
-    """Serve metrics and health.
+    """Serve metrics and health checks.
 
     Args:
       address: where to listen.
-      metrics: what is shown.
-      is_ready: whether this process takes new work.
+      metrics: metrics to expose.
+      is_ready: whether this process accepts new work.
       stack: closes the server.
     """
     stack.enter_context(AdminServer(address[0], address[1], metrics, is_ready))
--- a/gypsumspoke/shell/keep_alive.py
+++ b/gypsumspoke/shell/keep_alive.py
@@ -1,9 +1,8 @@
-"""HTTP exchanges over connections that are kept open, and never a second try.
+"""HTTP client with persistent connections that never retries.
 
-As in ``shell/http_exchange.py``, a request is sent once: one whose connection ended
-without an answer may have been carried out, and only the caller knows whether it may be
-sent again. A kept connection on which the other side has already sent something, or its
-end, is not used for another request.
+As in ``shell/http_exchange.py``, a request is sent once: without an answer it may have
+taken effect, and only the caller knows whether it may be repeated. An idle connection
+on which the server has sent bytes, or has closed, is not reused.
 """
 
 from collections import deque
@@ -23,7 +22,7 @@
 )
 from gypsumspoke.shell.http_parser import HTTPParseError, HTTPSocketResponse
 
-# Connections kept open to one address; more requests at once open more and close them.
+# Connections kept open per address; concurrent requests beyond it open temporary ones.
 MAX_IDLE_CONNECTIONS = 8
 _READ_BYTES = 64 * 1024
 
@@ -32,8 +31,8 @@
     """One HTTP request.
 
     Attributes:
-      method, path: of the request line; the path with its query.
-      headers: beyond Host and Content-Length.
+      method, path: for the request line; the path includes the query.
+      headers: headers besides Host and Content-Length.
       body: request body.
     """
 
@@ -44,12 +43,12 @@
 
 
 class KeepAliveClient:
-    """Sends requests to one address.
+    """Sends requests to one address over persistent connections.
 
     Args:
       address: IP number and port.
-      connect_timeout: bound on making a connection.
-      max_answer_bytes: bound on the size of the answer's body.
+      connect_timeout: time to establish a connection.
+      max_answer_bytes: maximum size of an answer's body.
     """
 
     def __init__(
@@ -64,28 +63,28 @@
         self._idle: deque[socket] = deque()
 
     def close(self) -> None:
-        """Close the kept connections."""
+        """Close the idle connections."""
         while self._idle:
             self._idle.pop().close()
 
     def send(
-        self, request: Request, within: timedelta
+        self, request: Request, timeout: timedelta
     ) -> Result[HttpAnswer, ExchangeError]:
-        """Send a request and read the whole answer.
+        """Send a request and read the answer.
 
         Args:
-          request: what to send.
-          within: bound on the exchange, without making a connection.
+          request: the request.
+          timeout: time for the exchange, not including the connect.
 
         Returns:
-          The answer whatever its status, or why there is none.
+          The answer, whatever its status, or why there is none.
         """
         sock = self._take_idle() or self._connect()
         if sock is None:
             return Failure(ExchangeError.NOT_SENT)
         keep = False
         try:
-            answer, keep = self._exchange(sock, request, within)
+            answer, keep = self._exchange(sock, request, timeout)
             return answer
         finally:
             if keep and len(self._idle) < MAX_IDLE_CONNECTIONS:
@@ -94,7 +93,7 @@
                 sock.close()
 
     def _take_idle(self) -> socket | None:
-        """Return a kept connection that nothing has come on, or None."""
+        """Return an idle connection that is still usable, or None."""
         while self._idle:
             sock = self._idle.pop()
             if _is_quiet(sock):
@@ -115,9 +114,9 @@
         return sock
 
     def _exchange(
-        self, sock: socket, request: Request, within: timedelta
+        self, sock: socket, request: Request, timeout: timedelta
     ) -> tuple[Result[HttpAnswer, ExchangeError], bool]:
-        """Return the answer, and whether the connection can be used again."""
+        """Return the answer and whether the connection can be reused."""
         payload = request_bytes(
             self._address,
             request.method,
@@ -126,7 +125,7 @@
             request.body,
         )
         try:
-            with gevent.Timeout(within.total_seconds()):
+            with gevent.Timeout(timeout.total_seconds()):
                 sock.sendall(payload)
                 response = HTTPSocketResponse(
                     sock, block_size=_READ_BYTES, method=request.method
@@ -141,7 +140,7 @@
 
 
 def _is_quiet(sock: socket) -> bool:
-    """Return whether neither bytes nor the end has come on an idle connection."""
+    """Return whether the server has neither sent bytes nor closed the connection."""
     sock.setblocking(False)
     try:
         sock.recv(1)
@@ -154,7 +153,7 @@
 
 
 def success(answer: Result[HttpAnswer, ExchangeError]) -> Result[bytes, str]:
-    """Return the body of a 2xx answer, or a sentence that says what came instead."""
+    """Return the body of a 2xx answer, or a description of the failure."""
     match answer:
         case Success(HttpAnswer(status, body)) if 200 <= status < 300:
             return Success(body)
