--- a/tests/shell/conftest.py
+++ b/tests/shell/conftest.py
@@ -1,4 +1,4 @@
-"""A table, a home that the test plays, and an entry process in front of them."""
+"""Fixtures: a table, a home simulated by the test, and an entry process."""
 
 import json
 from contextlib import closing
--- a/tests/shell/test_disconnects.py
+++ b/tests/shell/test_disconnects.py
@@ -1,4 +1,4 @@
-"""A caller that leaves is noticed; one that sends more is not taken for gone."""
+"""A disconnect of the caller is detected; pipelined bytes are not mistaken for one."""
 
 import gevent
 import pytest
@@ -15,30 +15,30 @@
     other.close()
 
 
-def test_a_closed_connection_is_noticed_once(pair):
-    here, caller = pair
-    left = []
-    with watch_disconnect(here, lambda: left.append(True)):
+def test_a_closed_connection_is_reported_once(pair):
+    connection, caller = pair
+    calls = []
+    with watch_disconnect(connection, lambda: calls.append(True)):
         caller.close()
         gevent.sleep(0.05)
-    assert left == [True]
+    assert calls == [True]
 
 
-def test_bytes_of_a_next_request_are_left_alone(pair):
-    here, caller = pair
-    left = []
-    with watch_disconnect(here, lambda: left.append(True)):
+def test_bytes_of_a_pipelined_request_are_not_consumed(pair):
+    connection, caller = pair
+    calls = []
+    with watch_disconnect(connection, lambda: calls.append(True)):
         caller.sendall(b"GET")
         gevent.sleep(0.05)
-    assert left == []
-    assert here.recv(10) == b"GET"
+    assert calls == []
+    assert connection.recv(10) == b"GET"
 
 
-def test_nothing_is_noticed_after_the_block(pair):
-    here, caller = pair
-    left = []
-    with watch_disconnect(here, lambda: left.append(True)):
+def test_a_disconnect_after_the_block_is_not_reported(pair):
+    connection, caller = pair
+    calls = []
+    with watch_disconnect(connection, lambda: calls.append(True)):
         gevent.sleep(0)
     caller.close()
     gevent.sleep(0.05)
-    assert left == []
+    assert calls == []
--- a/tests/shell/test_early_listeners.py
+++ b/tests/shell/test_early_listeners.py
@@ -1,4 +1,4 @@
-"""Ports that listen while a process is loading."""
+"""Sockets that listen before their servers start."""
 
 from contextlib import ExitStack, closing
 from datetime import timedelta
@@ -11,7 +11,7 @@
 from gypsumspoke.shell.keep_alive import KeepAliveClient, Request
 from tests.standins.sockets import closed_port
 
-BOUND = timedelta(seconds=5)
+TIMEOUT = timedelta(seconds=5)
 
 
 def answer(environ, start):
@@ -19,22 +19,20 @@
     return [b"here"]
 
 
-def test_who_connects_while_the_process_loads_is_served_later():
-    """A caller connects before the server exists. Refused, it would come back more
-    than a second later, with a job that is late by then; its connection waits instead.
-    """
+def test_a_connection_made_during_start_up_is_served_later():
+    """A caller refused during start-up would retry too late for its job."""
     address = closed_port()
     with closing(EarlyListeners([address])) as listeners, ExitStack() as stack:
-        client = KeepAliveClient(address, BOUND, 1000)
+        client = KeepAliveClient(address, TIMEOUT, 1000)
         stack.enter_context(closing(client))
-        asked = gevent.spawn(client.send, Request("GET", "/", {}), BOUND)
+        response = gevent.spawn(client.send, Request("GET", "/", {}), TIMEOUT)
         gevent.sleep(0.05)
-        assert not asked.ready()
+        assert not response.ready()
         open_http_server(address, answer, listeners, stack)
-        assert asked.get(timeout=5).unwrap().body == b"here"
+        assert response.get(timeout=5).unwrap().body == b"here"
 
 
-def test_a_port_that_is_taken_is_reported_by_its_server():
+def test_a_port_in_use_is_reported_by_its_server():
     address = closed_port()
     with closing(EarlyListeners([address])), ExitStack() as stack:
         second = EarlyListeners([address])
@@ -43,7 +41,7 @@
             open_http_server(address, answer, second, stack)
 
 
-def test_a_port_that_nobody_takes_is_closed():
+def test_a_port_that_no_server_takes_is_closed():
     address = closed_port()
     EarlyListeners([address]).close()
     with closing(EarlyListeners([address])) as listeners:
--- a/tests/shell/test_entry.py
+++ b/tests/shell/test_entry.py
@@ -1,4 +1,4 @@
-"""An entry as a process, over real HTTP, with a home that the test plays."""
+"""Entry process over real HTTP, with a home simulated by the test."""
 
 import json
 from contextlib import closing
@@ -16,7 +16,7 @@
 from tests.standins.processes import BOUND_SECONDS, call_json
 
 
-def test_a_job_travels_to_its_home_and_its_whole_answer_back(entry, home):
+def test_a_job_is_forwarded_and_its_answer_returned(entry, home):
     caller = entry.submit_later()
     message = home.answer(DONE)
     assert [task.body for task in message.submission.tasks] == [b'{"paid": 7}', b"2"]
@@ -26,7 +26,7 @@
     assert body["results"] == [{"pot": 1.1}, {"not_json_base64": "cGxhaW4="}]
 
 
-def test_a_refusal_is_a_problem_with_kind_claim_and_time_to_come_back(entry, home):
+def test_a_refusal_has_problem_details_with_retry_after(entry, home):
     caller = entry.submit_later()
     home.answer(
         Answer(
@@ -55,12 +55,8 @@
     }
 
 
-def test_answers_that_come_in_another_order_reach_their_own_callers(entry, home):
-    """Two callers wait; the home answers the second one first.
-
-    Each gets the answer of its own request, because answers are matched by request id
-    and not by the order on the connection.
-    """
+def test_answers_out_of_order_reach_their_own_callers(entry, home):
+    """Answers are matched by request id, not by their order on the connection."""
     first = entry.submit_later(key="a")
     sender, one = home.take(SubmitJob)
     second = entry.submit_later(key="b")
@@ -90,10 +86,8 @@
 
 
 def test_a_caller_that_disconnects_does_not_cancel(entry, home):
-    """A phone loses its connection while the job runs, and nothing tells the home.
-
-    The home sees no cancellation; the answer finds nobody and is dropped, and the next
-    request on another connection is served.
+    """The answer to a caller that disconnected is dropped, and the home receives no
+    cancellation; the next request on another connection is served.
     """
     body = json.dumps(job()).encode()
     head = f"POST /v1/jobs HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n\r\n"
@@ -135,20 +129,17 @@
 
 
 def test_an_endless_chunked_body_is_refused(entry):
-    piece = b"10000\r\n" + b" " * 0x10000 + b"\r\n"
+    chunk = b"10000\r\n" + b" " * 0x10000 + b"\r\n"
     head = b"POST /v1/jobs HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
     with closing(socket.create_connection(("127.0.0.1", entry.port))) as caller:
         caller.settimeout(BOUND_SECONDS)
-        caller.sendall(head + piece * 20)
+        caller.sendall(head + chunk * 20)
         assert caller.recv(100).startswith(b"HTTP/1.1 413 ")
 
 
-def test_a_graceful_stop_cuts_no_request_in_flight(entry, home):
-    """The entry is told to stop while a caller waits for its job.
-
-    Its readiness goes off and a new request is refused, but the port stays open; when
-    the home answers, the waiting caller gets the whole answer; then the process exits
-    with status 0.
+def test_a_graceful_stop_completes_requests_in_progress(entry, home):
+    """On SIGTERM an entry with a waiting caller becomes unready and refuses new jobs;
+    the caller gets its answer before the process exits with status 0.
     """
     caller = entry.submit_later()
     sender, message = home.take(SubmitJob)
--- a/tests/shell/test_http_exchange.py
+++ b/tests/shell/test_http_exchange.py
@@ -1,4 +1,4 @@
-"""One request, one answer, never a second try."""
+"""HTTP exchanges: complete answers, errors and no retries."""
 
 from contextlib import ExitStack
 from datetime import timedelta
@@ -11,7 +11,7 @@
 from tests.standins.sockets import Server, closed_port
 
 LIMITS = ExchangeLimits(timedelta(seconds=5), timedelta(seconds=5), 1000)
-HASTY = LIMITS._replace(answer_timeout=timedelta(seconds=0.05))
+SHORT_TIMEOUT = LIMITS._replace(answer_timeout=timedelta(seconds=0.05))
 
 
 @pytest.fixture
@@ -49,7 +49,7 @@
     ],
     ids=["length", "error status", "no content", "chunked"],
 )
-def test_a_whole_answer_is_returned(serve, answer, status, body):
+def test_a_complete_answer_is_returned(serve, answer, status, body):
     assert call(serve(answer)).unwrap() == (status, body)
 
 
@@ -66,26 +66,24 @@
     ],
     ids=[
         "nothing",
-        "headers cut",
-        "body cut",
-        "chunks cut",
+        "truncated headers",
+        "truncated body",
+        "truncated chunks",
         "no declared end",
         "bad length",
         "garbage",
     ],
 )
-def test_a_cut_answer_is_broken_and_not_asked_for_again(serve, answer):
-    """The upstream dies while it answers.
-
-    The task has started, so sending the request again would start it twice, and what
-    came so far is no answer.
+def test_an_incomplete_answer_is_broken_and_not_retried(serve, answer):
+    """When the upstream crashes while it answers, the task has started; a retry would
+    start it twice, and the partial body is not an answer.
     """
     server = serve(answer)
     assert call(server).failure() is ExchangeError.BROKEN
     assert server.accepted == 1
 
 
-def test_a_refused_connection_sent_nothing():
+def test_a_refused_connection_is_reported_as_not_sent():
     assert (
         post(closed_port(), "/run", (), b"", LIMITS).failure() is ExchangeError.NOT_SENT
     )
@@ -93,7 +91,7 @@
 
 def test_a_slow_answer_times_out(serve):
     server = serve(None)
-    assert call(server, HASTY).failure() is ExchangeError.TIMEOUT
+    assert call(server, SHORT_TIMEOUT).failure() is ExchangeError.TIMEOUT
     assert server.accepted == 1
 
 
@@ -102,16 +100,16 @@
     stack.callback(listener.close)
     listener.bind(("127.0.0.1", 0))
     listener.listen()
-    result = post(listener.getsockname(), "/run", (), b"", HASTY)
+    result = post(listener.getsockname(), "/run", (), b"", SHORT_TIMEOUT)
     assert result.failure() is ExchangeError.TIMEOUT
 
 
-def test_a_huge_answer_is_not_collected(serve):
+def test_an_oversized_answer_is_not_read(serve):
     server = serve(b"HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n" + bytes(9999))
     assert call(server).failure() is ExchangeError.TOO_LARGE
 
 
-def test_requests_side_by_side_get_their_own_answers(serve):
+def test_concurrent_requests_get_their_own_answers(serve):
     server = serve(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc")
     calls = [gevent.spawn(call, server) for _ in range(20)]
     gevent.joinall(calls, timeout=30)
--- a/tests/shell/test_keep_alive.py
+++ b/tests/shell/test_keep_alive.py
@@ -1,4 +1,4 @@
-"""Kept connections, and requests that are never sent twice."""
+"""Persistent connections are reused safely, and requests are never sent twice."""
 
 from datetime import timedelta
 
@@ -12,22 +12,22 @@
 from tests.standins.sockets import Server, closed_port
 
 SECOND = timedelta(seconds=1)
-ASK = Request("POST", "/x", {"Content-Type": "application/json"}, b"{}")
+REQUEST = Request("POST", "/x", {"Content-Type": "application/json"}, b"{}")
 
 
 @pytest.fixture
 def server():
-    answered = []
+    client_ports = []
 
     def application(environ, start_response):
-        answered.append(environ["REMOTE_PORT"])
+        client_ports.append(environ["REMOTE_PORT"])
         if environ["PATH_INFO"] == "/slow":
             gevent.sleep(5)
         start_response("200 OK", [("Content-Length", "2")])
         return [b"ok"]
 
     serving = WSGIServer(("127.0.0.1", 0), application, log=None)
-    serving.answered = answered
+    serving.client_ports = client_ports
     serving.start()
     yield serving
     serving.stop(timeout=0)
@@ -40,54 +40,54 @@
 def test_requests_share_a_connection(server):
     client = client_of(server.address)
     for _ in range(3):
-        assert client.send(ASK, SECOND).unwrap().body == b"ok"
-    assert len(set(server.answered)) == 1
+        assert client.send(REQUEST, SECOND).unwrap().body == b"ok"
+    assert len(set(server.client_ports)) == 1
 
 
-def test_a_late_answer_is_given_up_and_its_connection_is_not_used_again(server):
+def test_a_connection_is_not_reused_after_a_timeout(server):
     client = client_of(server.address)
-    slow = ASK._replace(path="/slow")
-    within = timedelta(milliseconds=50)
-    assert client.send(slow, within).failure() is ExchangeError.TIMEOUT
-    assert client.send(ASK, SECOND).unwrap().body == b"ok"
-    assert len(set(server.answered)) == 2
+    slow = REQUEST._replace(path="/slow")
+    timeout = timedelta(milliseconds=50)
+    assert client.send(slow, timeout).failure() is ExchangeError.TIMEOUT
+    assert client.send(REQUEST, SECOND).unwrap().body == b"ok"
+    assert len(set(server.client_ports)) == 2
 
 
-def test_nothing_listens():
-    answer = client_of(closed_port()).send(ASK, SECOND)
+def test_a_refused_connection_is_reported_as_not_sent():
+    answer = client_of(closed_port()).send(REQUEST, SECOND)
     assert answer.failure() is ExchangeError.NOT_SENT
 
 
-def test_a_connection_that_ends_without_an_answer_is_not_tried_again():
+def test_a_connection_closed_without_an_answer_is_not_retried():
     server = Server(b"")
-    answer = client_of(server.address).send(ASK, SECOND)
+    answer = client_of(server.address).send(REQUEST, SECOND)
     assert answer.failure() is ExchangeError.BROKEN
     assert server.accepted == 1
     server.close()
 
 
-def test_a_kept_connection_that_was_closed_is_replaced_before_the_request():
-    """The other side closes an idle connection. Found out only after the request was
-    sent, it would be unknown whether that was carried out.
+def test_a_closed_idle_connection_is_replaced_before_the_request():
+    """If the close were detected only after sending, the outcome of the request would
+    be unknown.
     """
     body = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
     server = Server(body)
     client = client_of(server.address)
-    assert is_successful(client.send(ASK, SECOND))
+    assert is_successful(client.send(REQUEST, SECOND))
     gevent.sleep(0.05)
-    assert is_successful(client.send(ASK, SECOND))
+    assert is_successful(client.send(REQUEST, SECOND))
     assert server.accepted == 2
     server.close()
 
 
-def test_a_body_over_the_bound_is_refused(server):
-    answer = client_of(server.address, max_answer_bytes=1).send(ASK, SECOND)
+def test_a_body_over_the_size_limit_is_refused(server):
+    answer = client_of(server.address, max_answer_bytes=1).send(REQUEST, SECOND)
     assert answer.failure() is ExchangeError.TOO_LARGE
 
 
-def test_only_a_good_status_counts_as_success():
+def test_only_a_2xx_status_counts_as_success():
     server = Server(b"HTTP/1.1 503 No\r\nContent-Length: 4\r\n\r\nbusy")
-    answer = success(client_of(server.address).send(ASK, SECOND))
+    answer = success(client_of(server.address).send(REQUEST, SECOND))
     assert "503" in answer.failure()
     assert "busy" in answer.failure()
     server.close()
--- a/tests/shell/test_runtime.py
+++ b/tests/shell/test_runtime.py
@@ -1,4 +1,4 @@
-"""The loop around a reducer, with a toy reducer and real links."""
+"""Event loop with a fake reducer and real links."""
 
 import signal
 import time
@@ -20,12 +20,12 @@
 from gypsumspoke.wire.links import PeerLinks
 from tests.standins.sockets import closed_port
 
-BOUND_SECONDS = 30
+TIMEOUT_SECONDS = 30
 QUERY = QueryJob("r1", 3, JobKey("orchards", "invoice-7"))
 
 
-class Toy:
-    """A reducer that keeps its events and answers each with given effects."""
+class FakeReducer:
+    """Records its events and returns given effects; fails when reentered."""
 
     def __init__(self, effects):
         self._effects = effects
@@ -51,10 +51,10 @@
         links = PeerLinks(Hello(PROTOCOL_VERSION, name, name, 64), clock)
         table = TableClient(closed_port())
         closers.extend([links.close, table.close])
-        toy = Toy(effects)
+        reducer = FakeReducer(effects)
         port = links.listen("127.0.0.1", 0)
-        runtime = Runtime(toy.reduce, toy, clock, links, table, **options)
-        return runtime, toy, links, port
+        runtime = Runtime(reducer.reduce, reducer, clock, links, table, **options)
+        return runtime, reducer, links, port
 
     yield make_runtime
     for close in closers:
@@ -62,7 +62,7 @@
 
 
 def run(runtime):
-    with gevent.Timeout(BOUND_SECONDS):
+    with gevent.Timeout(TIMEOUT_SECONDS):
         return runtime.run()
 
 
@@ -78,32 +78,32 @@
     assert ticks == [Tick()] * 3
 
 
-def test_effects_go_to_their_performers_and_one_fault_stops_none(make):
-    seen = []
+def test_an_effect_reaches_its_handlers_although_one_fails(make):
+    handled = []
 
     def fail(effect):
         raise OSError
 
     runtime, _, _, _ = make(lambda event: [Count(Counter.PEER_LOST), Exit()])
     runtime.add_handler(Count, fail)
-    runtime.add_handler(Count, seen.append)
+    runtime.add_handler(Count, handled.append)
     assert run(runtime) == module.EXIT_DONE
-    assert seen == [Count(Counter.PEER_LOST)]
+    assert handled == [Count(Counter.PEER_LOST)]
 
 
-def test_events_are_reduced_in_order_and_never_inside_each_other(make):
+def test_events_are_reduced_in_order_without_reentrance(make):
     def effects(event):
         return [Count(Counter.PEER_LOST)] if event in ("a", "b") else [Exit()]
 
-    runtime, toy, _, _ = make(effects)
+    runtime, reducer, _, _ = make(effects)
     runtime.add_handler(Count, lambda effect: runtime.post("nested"))
     for event in ("a", "b", Drain()):
         runtime.post(event)
     run(runtime)
-    assert toy.events[:3] == ["a", "b", Drain()]
+    assert reducer.events[:3] == ["a", "b", Drain()]
 
 
-def test_a_fault_in_the_reducer_ends_the_process(make):
+def test_an_exception_in_the_reducer_ends_the_process(make):
     def effects(event):
         raise ZeroDivisionError
 
@@ -115,30 +115,30 @@
     def effects(event):
         if isinstance(event, Drain):
             signal.raise_signal(signal.SIGTERM)
-        elif isinstance(event, Tick) and not toy.events:
+        elif isinstance(event, Tick) and not reducer.events:
             signal.raise_signal(signal.SIGTERM)
         return []
 
-    runtime, toy, _, _ = make(effects)
+    runtime, reducer, _, _ = make(effects)
     assert run(runtime) == module.EXIT_SECOND_SIGNAL
-    assert Drain() in toy.events
+    assert Drain() in reducer.events
 
 
-def test_a_drain_that_never_ends_is_bounded(make):
+def test_a_drain_ends_after_its_timeout(make):
     runtime, _, _, _ = make(lambda event: [], drain_timeout=timedelta(seconds=0.1))
     runtime.drain()
     assert run(runtime) == module.EXIT_DRAIN_TIMEOUT
 
 
-def test_a_drain_that_the_reducer_began_is_bounded_too(make):
+def test_a_drain_begun_by_the_reducer_ends_after_its_timeout(make):
     options = {"drain_timeout": timedelta(0), "is_draining": lambda: True}
     runtime, _, _, _ = make(lambda event: [], **options)
     assert run(runtime) == module.EXIT_DRAIN_TIMEOUT
 
 
 def test_timers_run_while_events_keep_coming(make):
-    """Under load the loop reduced thousands of events before it looked at sockets and
-    timers again. Peers heard no heartbeat meanwhile and closed their connections.
+    """Without bounded turns, peers would get no heartbeats under load and would close
+    their connections.
     """
 
     def effects(event):
@@ -148,22 +148,22 @@
         return [Exit()] if due else [Count(Counter.PEER_LOST)]
 
     due = []
-    runtime, toy, _, _ = make(effects)
+    runtime, reducer, _, _ = make(effects)
     runtime.add_handler(Count, lambda effect: runtime.post("more"))
     runtime.post("more")
     timer = gevent.spawn_later(0.005, due.append, True)
     assert run(runtime) == module.EXIT_DONE
     timer.kill()
-    assert toy.events.count("more") < 100
+    assert reducer.events.count("more") < 100
 
 
 def test_an_unreachable_table_is_reported(make):
     def effects(event):
         return [Exit()] if isinstance(event, RowsRead) else [ReadRows("r", "members/")]
 
-    runtime, toy, _, _ = make(effects)
+    runtime, reducer, _, _ = make(effects)
     run(runtime)
-    assert toy.events == [RowsRead("r", None)]
+    assert reducer.events == [RowsRead("r", None)]
 
 
 def test_two_processes_exchange_messages(make):
--- a/tests/shell/test_sidecar.py
+++ b/tests/shell/test_sidecar.py
@@ -1,4 +1,4 @@
-"""The sidecar as a process of its own, with a table and upstreams beside it."""
+"""Sidecar processes with a table and an upstream."""
 
 import gevent
 import pytest
@@ -41,7 +41,7 @@
             gevent.sleep(0.05)
 
 
-def test_sidecars_register_share_the_partitions_and_one_leaves(processes):
+def test_sidecars_register_share_partitions_and_deregister(processes):
     table, upstream = processes.start_table(), processes.start_upstream()
     sidecars = [
         processes.start_role("sidecar", settings(table, upstream, f"worker-{number}"))
