--- a/gypsumspoke/shell/admin_http.py
+++ b/gypsumspoke/shell/admin_http.py
@@ -1,9 +1,9 @@
 """The administration port that every role has: metrics, health and readiness.
 
-``/healthz`` tells whether the loop turns at all, ``/readyz`` whether new work may come.
-A role adds its own routes as WSGI applications by path prefix. Operators and scrapers
-share the port, so connections are bounded and idle ones are closed: otherwise a few
-forgotten clients would keep an operator out.
+``/healthz`` answers while the event loop runs, ``/readyz`` succeeds while the process
+accepts new work. A role adds its own routes as WSGI applications by path prefix.
+Connections are bounded and idle ones are closed, so that abandoned clients don't lock
+out operators and scrapers.
 """
 
 import logging
@@ -32,21 +32,21 @@
 
 
 class MetricsRenderer(Protocol):
-    """What the administration port asks of the metrics."""
+    """Renders metrics for ``/metrics``."""
 
     def render(self) -> bytes:
-        """Return all metrics as text."""
+        """Return all metrics in the Prometheus text format."""
 
 
 class AdminServer:
     """HTTP server of the administration port.
 
     Args:
-      host, port: where to listen; port 0 takes any free one.
-      metrics: what ``/metrics`` shows.
-      ready: whether this process takes new work now.
+      host, port: address to listen on; port 0 selects any free port.
+      metrics: rendered for ``/metrics``.
+      ready: returns whether this process accepts new work.
       extra_routes: WSGI applications by path prefix, such as ``/v1/``; the longest
-        prefix that fits is taken.
+        matching prefix wins.
     """
 
     def __init__(
@@ -72,7 +72,7 @@
 
     @property
     def port(self) -> int:
-        """TCP port it listens on, once started."""
+        """The listening TCP port, once started."""
         return self._server.server_port
 
     def __enter__(self) -> "AdminServer":
@@ -83,36 +83,36 @@
         self.stop()
 
     def start(self) -> None:
-        """Listen and serve on the loop.
+        """Listen and serve requests on the event loop.
 
         Raises:
-          OSError: the port can't be had.
+          OSError: the address can't be bound.
         """
         self._server.start()
 
     def stop(self) -> None:
-        """Close the port and give up open connections."""
+        """Close the port and abort open connections."""
         self._server.stop(timeout=0)
 
     def _answer(self, environ: Environ, start: StartResponse) -> Iterable[bytes]:
         application = self._route(environ["PATH_INFO"])
-        # A request that hangs would hold its connection for good.
+        # Without a timeout a hung request would occupy its connection forever.
         with Timeout(REQUEST_TIMEOUT_SECONDS, False):
             return application(environ, start)
         return _respond(start, _TIMED_OUT, b"timed out\n")
 
     def _route(self, path: str) -> Application:
-        own = {
+        builtin = {
             "/metrics": self._show_metrics,
             "/healthz": self._show_health,
             "/readyz": self._show_readiness,
         }
-        if path in own:
-            return _only_get(own[path])
-        fitting = [prefix for prefix in self._routes if path.startswith(prefix)]
-        if not fitting:
+        if path in builtin:
+            return _only_get(builtin[path])
+        matching = [prefix for prefix in self._routes if path.startswith(prefix)]
+        if not matching:
             return _not_found
-        return self._routes[max(fitting, key=len)]
+        return self._routes[max(matching, key=len)]
 
     def _show_metrics(self, environ: Environ, start: StartResponse) -> list[bytes]:
         return _respond(start, _OK, self._metrics.render(), _METRICS_TYPE)
@@ -127,19 +127,19 @@
 
 
 def server_environ(host: str) -> dict[str, str]:
-    """Return what a WSGI server must not find out by itself.
+    """Return the WSGI environment that spares the server a name lookup.
 
-    The server asks the resolver for its host's name, in a thread started for that; a
-    resolver that does not answer would hold up the start. Nobody reads the name.
+    Without SERVER_NAME the server looks up its host name, and an unresponsive resolver
+    would delay the start.
 
     Args:
-      host: the address listened on.
+      host: the address it listens on.
     """
     return {"SERVER_NAME": host}
 
 
 class IdleClosingHandler(WSGIHandler):
-    """Closes a connection that sends nothing or takes nothing for too long."""
+    """Closes a connection on which reads or writes make no progress for too long."""
 
     def handle(self) -> None:
         self.socket.settimeout(IDLE_TIMEOUT_SECONDS)
--- a/gypsumspoke/shell/link_metrics.py
+++ b/gypsumspoke/shell/link_metrics.py
@@ -8,7 +8,7 @@
 
 
 class GaugeRegistry(Protocol):
-    """Takes gauges that are read when the metrics are."""
+    """Registers gauges whose values are read when the metrics are rendered."""
 
     def gauge(self, name: str, description: str, read: Callable[[], float]) -> None:
         """Add a gauge; see ``Metrics.gauge``."""
@@ -29,10 +29,10 @@
 
 
 def add_link_gauges(metrics: GaugeRegistry, links: PeerLinks) -> None:
-    """Show what the links count.
+    """Add a gauge for each counter of the links.
 
     Args:
-      metrics: metrics of this process.
+      metrics: receives the gauges.
       links: connections to peers.
     """
     for name, description in LINK_COUNTS.items():
--- a/tests/shell/test_adaptive_timeout.py
+++ b/tests/shell/test_adaptive_timeout.py
@@ -1,39 +1,39 @@
-"""How long an answer is waited for."""
+"""The timeout follows the response times."""
 
 from datetime import timedelta
 
 from gypsumspoke.shell.adaptive_timeout import MIN_TIMEOUT, AdaptiveTimeout
 
-LONGEST = timedelta(milliseconds=120)
+MAX_TIMEOUT = timedelta(milliseconds=120)
 
 
-def after(*milliseconds: float) -> AdaptiveTimeout:
-    time = AdaptiveTimeout(LONGEST)
-    for each in milliseconds:
-        time.record(timedelta(milliseconds=each))
-    return time
+def timeout_after(*milliseconds: float) -> AdaptiveTimeout:
+    timeout = AdaptiveTimeout(MAX_TIMEOUT)
+    for value in milliseconds:
+        timeout.record(timedelta(milliseconds=value))
+    return timeout
 
 
-def test_before_the_first_answer_the_wait_is_longest():
-    assert AdaptiveTimeout(LONGEST).timeout == LONGEST
+def test_the_timeout_is_maximal_until_the_first_answer():
+    assert AdaptiveTimeout(MAX_TIMEOUT).timeout == MAX_TIMEOUT
 
 
-def test_quick_answers_make_it_short():
-    assert after(*[2] * 20).timeout == MIN_TIMEOUT
+def test_fast_answers_shorten_the_timeout():
+    assert timeout_after(*[2] * 20).timeout == MIN_TIMEOUT
 
 
-def test_slow_answers_make_it_long():
-    """An instance is slow and answers take 40 ms. None of them may be given up."""
-    assert after(*[2] * 20, *[40] * 5).timeout > timedelta(milliseconds=60)
-    assert after(*[500] * 20).timeout == LONGEST
+def test_slow_answers_lengthen_the_timeout():
+    """The answers of a slow instance arrive within the timeout."""
+    assert timeout_after(*[2] * 20, *[40] * 5).timeout > timedelta(milliseconds=60)
+    assert timeout_after(*[500] * 20).timeout == MAX_TIMEOUT
 
 
-def test_missing_answers_make_it_longer_until_one_comes():
-    time = after(*[5] * 20)
+def test_missing_answers_lengthen_the_timeout_up_to_the_maximum():
+    timeout = timeout_after(*[5] * 20)
     for _ in range(10):
-        time.record_missing()
-    assert time.timeout <= LONGEST
-    slow = after(*[20, 40] * 10)
-    before = slow.timeout
+        timeout.record_missing()
+    assert timeout.timeout <= MAX_TIMEOUT
+    slow = timeout_after(*[20, 40] * 10)
+    previous = slow.timeout
     slow.record_missing()
-    assert slow.timeout > before
+    assert slow.timeout > previous
--- a/tests/shell/test_admin_http.py
+++ b/tests/shell/test_admin_http.py
@@ -66,29 +66,23 @@
     assert client.post("/metrics", b"").status_code == 405
 
 
-def test_a_hanging_route_is_given_up(client, monkeypatch):
-    """The operator sees 504 rather than a connection that never answers.
-
-    The route waits for something that never comes; the bound on a request ends it and
-    the connection is free for the next operator.
-    """
+def test_a_hung_request_times_out(client, monkeypatch):
+    """A request that never finishes gets 504 instead of occupying its connection."""
     monkeypatch.setattr(admin_http, "REQUEST_TIMEOUT_SECONDS", 0.01)
     assert get(client, "/v1/hang")[0] == 504
 
 
 def test_silent_connections_are_closed(client, ready, monkeypatch):
-    """An operator gets in though forgotten clients hold every connection.
-
-    Idle clients take all places, and the accept loop stops. After the idle bound they
-    are closed, and the next request is answered.
+    """Idle clients that occupy every connection are closed after the idle timeout, so
+    that the next request is served.
     """
     monkeypatch.setattr(admin_http, "IDLE_TIMEOUT_SECONDS", 0.05)
     monkeypatch.setattr(admin_http, "MAX_CONNECTIONS", 2)
     with AdminServer("127.0.0.1", 0, Metrics(), ready) as server:
         address = ("127.0.0.1", server.port)
         idle = [gevent.socket.create_connection(address) for _ in range(4)]
-        late = HTTPClient(*address, network_timeout=60)
-        assert get(late, "/healthz") == (200, b"ok\n")
-        late.close()
+        new_client = HTTPClient(*address, network_timeout=60)
+        assert get(new_client, "/healthz") == (200, b"ok\n")
+        new_client.close()
         for connection in idle:
             connection.close()
--- a/tests/shell/test_deferred_metrics.py
+++ b/tests/shell/test_deferred_metrics.py
@@ -1,4 +1,4 @@
-"""Counts before the metrics library is loaded."""
+"""Updates made before the metrics library is imported."""
 
 from contextlib import closing
 
@@ -10,7 +10,7 @@
 REFUSED = 'gypsumspoke_job_refusals_total{reason="too_late"}'
 
 
-def test_what_is_counted_before_the_library_is_loaded_is_shown():
+def test_updates_before_the_import_are_applied():
     with closing(DeferredMetrics("entry", "front-1")) as metrics:
         metrics.gauge("open_things", "Things.", lambda: 3.0)
         metrics.count(Count(RefusalReason.TOO_LATE, 2))
@@ -24,9 +24,9 @@
     assert f"{REFUSED} 3.0" in second
 
 
-def test_what_is_kept_is_bounded(monkeypatch):
-    """An overload in the first seconds counts a refusal for each of thousands of jobs.
-    Kept without a bound they would grow the process; at the bound they are counted.
+def test_queued_updates_are_bounded(monkeypatch):
+    """Thousands of refusals right after the start must not grow the queue without
+    bound: when it is full, the library is imported and they are counted.
     """
     monkeypatch.setattr(deferred_metrics, "MAX_PENDING", 3)
     with closing(DeferredMetrics("entry", "front-1")) as metrics:
