--- a/gypsumspoke/shell/log_stream.py
+++ b/gypsumspoke/shell/log_stream.py
@@ -1,10 +1,8 @@
 """A stream for log lines that never blocks and bounds what is written.
 
-Who reads the log may stop reading, and a full pipe blocks its writer: a process would
-then stand still with all its timers. So lines that do not fit the pipe wait in a small
-buffer, and beyond it they are dropped and counted. A burst of decisions could also cost
-more processor time in log lines than in decisions; lines beyond a rate are dropped and
-counted too. How many were lost is written as soon as there is room again.
+A blocking write to a full pipe would stop the event loop with all its timers. Lines
+that don't fit into the pipe are buffered; lines over the buffer size or over the rate
+limit are dropped. The number of dropped lines is logged once lines are accepted again.
 """
 
 import json
@@ -12,54 +10,52 @@
 import time
 from collections.abc import Callable
 
-# About two seconds of a busy process.
 BUFFER_BYTES = 256 * 1024
-# Several times what a busy process writes.
 LINES_PER_SECOND = 500
 BURST_LINES = 1000
 
 
 class LogStream:
-    """A text stream on a file descriptor; has what ``logging`` asks of one.
+    """A text stream on a file descriptor, usable by ``logging.StreamHandler``.
 
     Args:
-      descriptor: written to; set to non-blocking.
-      steady: seconds of a steady clock.
+      descriptor: file descriptor to write to; set to non-blocking.
+      monotonic: returns the seconds of a monotonic clock.
     """
 
     def __init__(
-        self, descriptor: int, steady: Callable[[], float] = time.monotonic
+        self, descriptor: int, monotonic: Callable[[], float] = time.monotonic
     ) -> None:
         self._descriptor = descriptor
-        self._steady = steady
+        self._monotonic = monotonic
         self._buffer = bytearray()
-        self._allowance = float(BURST_LINES)
-        self._refilled = steady()
+        self._tokens = float(BURST_LINES)
+        self._refilled_at = monotonic()
         self._dropped = 0
         os.set_blocking(descriptor, False)
 
     @property
     def dropped(self) -> int:
-        """Lines lost since the last one that says so."""
+        """Number of lines dropped since the last notice about them."""
         return self._dropped
 
     def write(self, text: str) -> int:
         """Write one line, or drop it; never blocks and never raises."""
         self._drain()
-        if not self._is_allowed() or len(self._buffer) > BUFFER_BYTES:
+        if not self._take_token() or len(self._buffer) > BUFFER_BYTES:
             self._dropped += 1
             return len(text)
         if self._dropped:
-            self._buffer += self._notice().encode()
+            self._buffer += self._dropped_notice().encode()
         self._buffer += text.encode()
         self._drain()
         return len(text)
 
     def flush(self) -> None:
-        """Write what the pipe takes now."""
+        """Write as much as the pipe accepts without blocking."""
         self._drain()
 
-    def _notice(self) -> str:
+    def _dropped_notice(self) -> str:
         line = {
             "level": "WARNING",
             "message": "log lines dropped",
@@ -68,14 +64,14 @@
         self._dropped = 0
         return json.dumps(line) + "\n"
 
-    def _is_allowed(self) -> bool:
-        now = self._steady()
-        gained = (now - self._refilled) * LINES_PER_SECOND
-        self._allowance = min(self._allowance + gained, BURST_LINES)
-        self._refilled = now
-        if self._allowance < 1:
+    def _take_token(self) -> bool:
+        now = self._monotonic()
+        gained = (now - self._refilled_at) * LINES_PER_SECOND
+        self._tokens = min(self._tokens + gained, BURST_LINES)
+        self._refilled_at = now
+        if self._tokens < 1:
             return False
-        self._allowance -= 1
+        self._tokens -= 1
         return True
 
     def _drain(self) -> None:
@@ -85,7 +81,7 @@
             except BlockingIOError:
                 return
             except OSError:
-                # The reader is gone for good; nobody will ever see these lines.
+                # The reader has closed the pipe.
                 self._buffer.clear()
                 return
             del self._buffer[:written]
--- a/gypsumspoke/shell/logs.py
+++ b/gypsumspoke/shell/logs.py
@@ -1,9 +1,8 @@
 """Logs as JSON lines on one stream.
 
-Each line carries the role and the worker, and the team, key, task and attempt it is
-about where they are known, so that one submission can be followed over all processes
-with a text search. Further values stand apart under ``details``: a reducer that speaks
-of another worker must not overwrite the name of the one that writes.
+Each line has the role and worker of its process and, where known, the team, key, task
+and attempt, so that a text search follows a submission across processes. Further values
+are nested under ``details``, so that they can't overwrite the fields of the process.
 """
 
 import logging
@@ -23,17 +22,17 @@
 def configure_logs(
     stream: TextIO, level: str, role: str = "", worker: str = ""
 ) -> logging.Handler:
-    """Send every log line of the process to ``stream`` as JSON.
+    """Write all log lines of the process to ``stream`` as JSON.
 
     Args:
-      stream: where the lines go, as a rule standard error.
+      stream: receives the lines, usually standard error.
       level: lowest level written, as in ``logging``.
-      role, worker: who writes, on each line.
+      role, worker: identity of the process, added to each line.
 
     Returns:
-      The handler, which takes the place of all earlier ones.
+      The handler, which replaces all earlier ones.
     """
-    # A stream that has gone away must not print a traceback for each lost line.
+    # Prints no traceback for each line when the stream is closed.
     logging.raiseExceptions = False
     handler = logging.StreamHandler(stream)
     handler.setFormatter(_formatter(role, worker))
@@ -54,10 +53,10 @@
 
 
 def log(entry: Log) -> None:
-    """Write one log line of a reducer or the shell.
+    """Write one log line of a reducer or of the shell.
 
     Args:
-      entry: what to write; fields that are None are left out.
+      entry: the line; fields that are None are omitted.
     """
     if not _logger.isEnabledFor(entry.level):
         return
@@ -79,9 +78,11 @@
 
 
 def _log_uncaught(
-    kind: type[BaseException], error: BaseException, trace: TracebackType | None
+    error_type: type[BaseException],
+    error: BaseException,
+    traceback: TracebackType | None,
 ) -> None:
-    if issubclass(kind, KeyboardInterrupt):
-        sys.__excepthook__(kind, error, trace)
+    if issubclass(error_type, KeyboardInterrupt):
+        sys.__excepthook__(error_type, error, traceback)
         return
-    _logger.critical("uncaught error", exc_info=(kind, error, trace))
+    _logger.critical("uncaught error", exc_info=(error_type, error, traceback))
--- a/gypsumspoke/shell/loop_lag.py
+++ b/gypsumspoke/shell/loop_lag.py
@@ -1,4 +1,4 @@
-"""Shows how far the event loop is behind: a histogram and bounded log lines."""
+"""Reports the lag of the event loop: a histogram and rate-limited log lines."""
 
 import logging
 import time
@@ -9,26 +9,26 @@
 from gypsumspoke.core.events import Arrival
 
 METRIC = "loop_lag_seconds"
-# Label values of the metric: until an event is read, and from then until it is handled.
+# Labels of the metric: time until an event is read, and from then until it is handled.
 UNREAD, UNHANDLED = "unread", "unhandled"
-# Ticks of lag from which on the loop counts as behind. The platform may withhold the
-# processor for the rest of a tenth of a second, which is no lack of it yet.
-BEHIND_TICKS = 2.0
-# Behind until the lag has been this much smaller for as long as a line's interval.
-CAUGHT_UP_SHARE = 0.5
+# The loop is behind from this lag on. CPU throttling by the platform can delay it by
+# about one tick without a lack of processor time.
+MAX_LAG_TICKS = 2.0
+# It has caught up after LINE_INTERVAL with a lag below this share of the maximum.
+CAUGHT_UP_RATIO = 0.5
 LINE_INTERVAL = timedelta(seconds=1)
 
 _MILLISECOND = timedelta(milliseconds=1)
-_NONE = timedelta()
+_ZERO = timedelta()
 
 
 class LoopLag:
-    """Takes the lag of each event and tells of it at each tick.
+    """Records the lag of each event and reports the maximum at each tick.
 
     Args:
-      tick: how often the loop ticks.
-      now: when it begins.
-      processor_seconds: returns the processor time that this process has used.
+      tick: interval between ticks of the loop.
+      now: the current time.
+      processor_seconds: returns the processor time used by this process.
     """
 
     def __init__(
@@ -37,28 +37,28 @@
         now: datetime,
         processor_seconds: Callable[[], float] = time.process_time,
     ) -> None:
-        self._limit = tick * BEHIND_TICKS
+        self._max_lag = tick * MAX_LAG_TICKS
         self._processor_seconds = processor_seconds
-        self._unread = _NONE
-        self._unhandled = _NONE
+        self._unread = _ZERO
+        self._unhandled = _ZERO
         self._behind_since: datetime | None = None
-        self._above_at = now
-        self._worst = _NONE
-        self._worst_unread = _NONE
-        self._told_at = now
-        self._told_processor = processor_seconds()
+        self._last_lagging = now
+        self._worst = _ZERO
+        self._worst_unread = _ZERO
+        self._interval_start = now
+        self._interval_processor = processor_seconds()
 
     def record(self, arrival: Arrival, now: datetime) -> None:
-        """Take the lag of one event that is handled now."""
+        """Record the lag of an event that is handled at ``now``."""
         self._unread = max(self._unread, arrival.read - arrival.earliest)
         self._unhandled = max(self._unhandled, now - arrival.read)
 
     def report(self, now: datetime, queued: int) -> list[Observe | Log]:
-        """Return what shows the worst lag since the last call.
+        """Return observations and log lines for the worst lag since the last call.
 
         Args:
           now: the current time.
-          queued: how many events wait.
+          queued: number of queued events.
         """
         lag = self._unread + self._unhandled
         effects: list[Observe | Log] = [
@@ -67,42 +67,42 @@
         ]
         self._worst = max(self._worst, lag)
         self._worst_unread = max(self._worst_unread, self._unread)
-        self._unread = self._unhandled = _NONE
-        if lag >= self._limit * CAUGHT_UP_SHARE:
-            self._above_at = now
-        line = self._line(lag, now, queued)
+        self._unread = self._unhandled = _ZERO
+        if lag >= self._max_lag * CAUGHT_UP_RATIO:
+            self._last_lagging = now
+        line = self._log_line(lag, now, queued)
         return [*effects, line] if line is not None else effects
 
-    def _line(self, lag: timedelta, now: datetime, queued: int) -> Log | None:
+    def _log_line(self, lag: timedelta, now: datetime, queued: int) -> Log | None:
         if self._behind_since is None:
-            if lag < self._limit:
-                if now - self._told_at >= LINE_INTERVAL:
+            if lag < self._max_lag:
+                if now - self._interval_start >= LINE_INTERVAL:
                     self._begin_interval(now)
                 return None
             self._behind_since = now
-            return self._tell_line(logging.WARNING, "event loop behind", now, queued)
-        if now - self._above_at >= LINE_INTERVAL:
-            line = self._tell_line(logging.INFO, "event loop caught up", now, queued)
+            return self._behind_line(logging.WARNING, "event loop behind", now, queued)
+        if now - self._last_lagging >= LINE_INTERVAL:
+            line = self._behind_line(logging.INFO, "event loop caught up", now, queued)
             self._behind_since = None
             return line
-        if now - self._told_at >= LINE_INTERVAL:
-            return self._tell_line(logging.WARNING, "event loop behind", now, queued)
+        if now - self._interval_start >= LINE_INTERVAL:
+            return self._behind_line(logging.WARNING, "event loop behind", now, queued)
         return None
 
-    def _tell_line(self, level: int, event: str, now: datetime, queued: int) -> Log:
-        processor = self._processor_seconds() - self._told_processor
+    def _behind_line(self, level: int, event: str, now: datetime, queued: int) -> Log:
+        processor = self._processor_seconds() - self._interval_processor
         fields = (
             ("lag_ms", self._worst // _MILLISECOND),
             ("unread_ms", self._worst_unread // _MILLISECOND),
             ("queued", queued),
             ("behind_ms", (now - self._behind_since) // _MILLISECOND),
             ("processor_ms", round(processor * 1000)),
-            ("span_ms", (now - self._told_at) // _MILLISECOND),
+            ("span_ms", (now - self._interval_start) // _MILLISECOND),
         )
         self._begin_interval(now)
         return Log(level, event, fields=fields)
 
     def _begin_interval(self, now: datetime) -> None:
-        self._told_at = now
-        self._told_processor = self._processor_seconds()
-        self._worst = self._worst_unread = _NONE
+        self._interval_start = now
+        self._interval_processor = self._processor_seconds()
+        self._worst = self._worst_unread = _ZERO
--- a/gypsumspoke/shell/loop_watch.py
+++ b/gypsumspoke/shell/loop_watch.py
@@ -1,8 +1,8 @@
-"""How late the event loop is: when what it handles now had arrived.
+"""Bounds the arrival times of the events that the event loop reads.
 
-A process that gets too little processor time reads late and handles late, and nothing
-in what it reads tells so. The polls of its loop bound it: what is read after a poll
-that found something at once has arrived since the poll before.
+A process short of processor time reads its input late, which the input doesn't show.
+The polls of its loop give bounds: if a poll returns at once, the events it found have
+arrived since the previous poll.
 """
 
 from datetime import timedelta
@@ -12,12 +12,12 @@
 from gypsumspoke.core.clock import Clock
 from gypsumspoke.core.events import Arrival
 
-# A poll that took longer found nothing at once and waited.
-_WAITED = timedelta(milliseconds=1)
+# A poll of at least this duration had to wait for events.
+_MIN_WAIT = timedelta(milliseconds=1)
 
 
 class LoopWatch:
-    """Watches the polls of this thread's event loop.
+    """Times the polls of this thread's event loop.
 
     Args:
       clock: source of time.
@@ -25,41 +25,41 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._restart()
+        self._reset()
         loop = get_hub().loop
-        self._before = loop.prepare(ref=False)
-        self._after = loop.check(ref=False)
+        self._prepare_watcher = loop.prepare(ref=False)
+        self._check_watcher = loop.check(ref=False)
 
     @property
     def arrival(self) -> Arrival:
-        """When what is read after the latest poll arrived."""
+        """Bounds on the arrival of the events read after the latest poll."""
         return self._arrival
 
     def start(self) -> None:
-        """Begin to watch."""
-        self._restart()
-        # Before anything that the poll has found is handled.
-        self._after.priority = get_hub().loop.MAXPRI
-        self._before.start(self._take_poll)
-        self._after.start(self._take_found)
+        """Start timing the polls."""
+        self._reset()
+        # Run before the handlers of the events found by the poll.
+        self._check_watcher.priority = get_hub().loop.MAXPRI
+        self._prepare_watcher.start(self._on_prepare)
+        self._check_watcher.start(self._on_check)
 
     def close(self) -> None:
-        """Stop watching."""
-        for watcher in (self._before, self._after):
+        """Stop timing the polls."""
+        for watcher in (self._prepare_watcher, self._check_watcher):
             watcher.stop()
             watcher.close()
 
-    def _restart(self) -> None:
-        self._polled = self._polled_before = now = self._clock.now()
+    def _reset(self) -> None:
+        self._last_poll = self._previous_poll = now = self._clock.now()
         self._arrival = Arrival(now, now, now)
 
-    def _take_poll(self) -> None:
-        self._polled_before = self._polled
-        self._polled = self._clock.now()
+    def _on_prepare(self) -> None:
+        self._previous_poll = self._last_poll
+        self._last_poll = self._clock.now()
 
-    def _take_found(self) -> None:
+    def _on_check(self) -> None:
         now = self._clock.now()
-        if now - self._polled >= _WAITED:
-            self._arrival = Arrival(self._polled, now, now)
+        if now - self._last_poll >= _MIN_WAIT:
+            self._arrival = Arrival(self._last_poll, now, now)
         else:
-            self._arrival = Arrival(self._polled_before, self._polled_before, now)
+            self._arrival = Arrival(self._previous_poll, self._previous_poll, now)
--- a/gypsumspoke/shell/manifest_history.py
+++ b/gypsumspoke/shell/manifest_history.py
@@ -1,7 +1,7 @@
-"""The last accepted changes of the manifest, kept in a row beside it.
+"""The last accepted changes of the manifest, stored in a row of their own.
 
-The history tells whose change is in force after the answer to a write was lost, and
-whether a pipeline that repeats a step has been served already.
+After a lost answer to a write, the history shows whether the change took effect. It
+also makes repeating a change idempotent.
 """
 
 import hashlib
@@ -15,13 +15,14 @@
 
 
 class Change(NamedTuple):
-    """One accepted change of the manifest, as kept in the history row.
+    """One accepted change of the manifest, as stored in the history row.
 
     Attributes:
-      change_id: the operator's identity of the change.
-      version: version it got; 0 for the newest, whose version is its row's.
-      accepted: when, by the clock of the entry that wrote it.
-      digest: hash of the manifest's text; tells a change id used twice.
+      change_id: id of the change, chosen by the operator.
+      version: version of the manifest after the change; stored as 0 for the newest
+        change, which has the version of the history row.
+      accepted: ISO 8601 time at the entry that wrote it.
+      digest: hash of the manifest's text; detects a change id used twice.
     """
 
     change_id: str
@@ -31,7 +32,7 @@
 
 
 class StoredManifest(NamedTuple):
-    """The manifest and its history as they stand in the table."""
+    """The manifest and its history as stored in the table."""
 
     version: int
     text: str
@@ -39,7 +40,7 @@
     changes: tuple[Change, ...]
 
     def change(self, change_id: str) -> Change | None:
-        """Return the accepted change with this id, or None if it is not known."""
+        """Return the accepted change with this id, or None if it is unknown."""
         for change in self.changes:
             if change.change_id == change_id:
                 return change
@@ -52,12 +53,12 @@
 
 
 def history_value(changes: tuple[Change, ...]) -> str:
-    """Return the value of the history row, the newest change first."""
+    """Return the value of the history row for changes sorted newest first."""
     return json.dumps([change._asdict() for change in changes])
 
 
 def history_of(row: Row) -> tuple[Change, ...]:
-    """Return the kept changes, the newest first, each with its version."""
+    """Return the stored changes with their versions, newest first."""
     changes = [Change(**fields) for fields in json.loads(row.value or "[]")]
     if changes:
         changes[0] = changes[0]._replace(version=row.version)
--- a/tests/shell/test_log_stream.py
+++ b/tests/shell/test_log_stream.py
@@ -1,4 +1,4 @@
-"""Log lines never block, and their number is bounded."""
+"""Log writes never block, and their rate is bounded."""
 
 import json
 import os
@@ -9,7 +9,7 @@
 
 
 class Seconds:
-    """A steady clock that is set by hand."""
+    """A monotonic clock that tests set."""
 
     now = 0.0
 
@@ -25,9 +25,9 @@
     os.close(writer)
 
 
-def test_a_reader_that_stands_still_blocks_nothing_and_lost_lines_are_told(pipe):
-    """Nobody reads; the pipe fills, then the buffer, then lines are dropped. When the
-    reader goes on it finds whole lines, and one that says how many are missing.
+def test_a_stalled_reader_does_not_block_and_dropped_lines_are_counted(pipe):
+    """With a full pipe and buffer, lines are dropped; the reader later receives whole
+    lines and a notice with the number of dropped ones.
     """
     reader, writer = pipe
     seconds = Seconds()
@@ -37,20 +37,20 @@
         seconds.now += 0.01
         stream.write(line)
     assert stream.dropped > 0
-    held = b""
+    received = b""
     for _ in range(200):
         seconds.now += 1
         stream.write(line)
-        held += os.read(reader, 1 << 20)
-        if b"dropped" in held:
+        received += os.read(reader, 1 << 20)
+        if b"dropped" in received:
             break
-    lines = [json.loads(each) for each in held.splitlines()[:-1]]
-    told = [each for each in lines if each["message"] == "log lines dropped"]
-    assert told and told[0]["details"]["lines"] > 0
-    assert len(held) < 2 * BUFFER_BYTES + 1_000_000
+    lines = [json.loads(line) for line in received.splitlines()[:-1]]
+    notices = [line for line in lines if line["message"] == "log lines dropped"]
+    assert notices and notices[0]["details"]["lines"] > 0
+    assert len(received) < 2 * BUFFER_BYTES + 1_000_000
 
 
-def test_a_burst_of_lines_is_bounded(pipe):
+def test_the_line_rate_is_limited(pipe):
     reader, writer = pipe
     stream = LogStream(writer, Seconds())
     for _ in range(BURST_LINES + 50):
@@ -60,7 +60,7 @@
     assert stream.dropped == 50
 
 
-def test_a_reader_that_is_gone_is_no_error():
+def test_a_closed_pipe_is_no_error():
     reader, writer = os.pipe()
     stream = LogStream(writer, Seconds())
     os.close(reader)
--- a/tests/shell/test_logs.py
+++ b/tests/shell/test_logs.py
@@ -1,4 +1,4 @@
-"""Log lines are JSON and say whom they are about."""
+"""Log lines are JSON and identify their process and submission."""
 
 import io
 import json
@@ -37,12 +37,12 @@
     }
 
 
-def test_a_line_below_the_level_is_left_out(stream):
+def test_a_line_below_the_level_is_omitted(stream):
     log(Log(logging.DEBUG, "heartbeat"))
     assert stream.getvalue() == ""
 
 
-def test_a_line_of_plain_logging_has_the_same_shape(stream):
+def test_a_line_from_the_logging_module_has_the_same_format(stream):
     logging.getLogger("gypsumspoke.wire").info("listening", extra={"peer_port": 7})
     line = json.loads(stream.getvalue())
     assert line["message"] == "listening"
--- a/tests/shell/test_loop_lag.py
+++ b/tests/shell/test_loop_lag.py
@@ -1,4 +1,4 @@
-"""What shows that the event loop is behind."""
+"""Metrics and log lines about an event loop that is behind."""
 
 from datetime import datetime, timedelta, timezone
 
@@ -14,8 +14,8 @@
     return timedelta(milliseconds=value)
 
 
-class Played:
-    """A loop of which each tick has one event with a given lag."""
+class LoopSimulation:
+    """A loop with one event of a given lag at each tick."""
 
     def __init__(self):
         self.now = START
@@ -28,8 +28,8 @@
         self.now += TICK
         self.processor += 0.05
         read = self.now - ms(unhandled)
-        came = read - ms(unread)
-        self.lag.record(Arrival(came, came, read), self.now)
+        arrived = read - ms(unread)
+        self.lag.record(Arrival(arrived, arrived, read), self.now)
         for effect in self.lag.report(self.now, queued):
             if isinstance(effect, Log):
                 self.lines.append((effect.event, dict(effect.fields)))
@@ -37,20 +37,20 @@
                 self.observed.append((effect.label, round(effect.value * 1000)))
 
 
-def test_each_tick_shows_the_worst_lag_by_its_parts():
-    played = Played()
-    played.tick(unread=30, unhandled=20)
-    assert played.observed == [("unread", 30), ("unhandled", 20)]
-    assert played.lines == []
+def test_each_tick_observes_both_parts_of_the_worst_lag():
+    loop = LoopSimulation()
+    loop.tick(unread=30, unhandled=20)
+    assert loop.observed == [("unread", 30), ("unhandled", 20)]
+    assert loop.lines == []
 
 
-def test_a_loop_that_is_behind_is_logged_once_a_second_until_it_caught_up():
-    played = Played()
+def test_a_loop_that_is_behind_logs_once_per_interval_until_it_catches_up():
+    loop = LoopSimulation()
     for _ in range(25):
-        played.tick(unread=150, unhandled=80, queued=7)
-    events = [event for event, _ in played.lines]
+        loop.tick(unread=150, unhandled=80, queued=7)
+    events = [event for event, _ in loop.lines]
     assert events == ["event loop behind"] * 3
-    assert played.lines[1][1] == {
+    assert loop.lines[1][1] == {
         "lag_ms": 230,
         "unread_ms": 150,
         "queued": 7,
@@ -59,13 +59,13 @@
         "span_ms": 1000,
     }
     for _ in range(30):
-        played.tick()
-    assert [event for event, _ in played.lines[3:]][-1] == "event loop caught up"
-    assert len(played.lines) <= 6
+        loop.tick()
+    assert [event for event, _ in loop.lines[3:]][-1] == "event loop caught up"
+    assert len(loop.lines) <= 6
 
 
-def test_a_single_pause_below_the_limit_is_not_logged():
-    played = Played()
+def test_a_lag_below_the_maximum_is_not_logged():
+    loop = LoopSimulation()
     for _ in range(30):
-        played.tick(unread=90)
-    assert played.lines == []
+        loop.tick(unread=90)
+    assert loop.lines == []
--- a/tests/shell/test_loop_watch.py
+++ b/tests/shell/test_loop_watch.py
@@ -1,4 +1,4 @@
-"""When what the event loop reads had arrived."""
+"""Bounds on the arrival times of events."""
 
 import time
 from contextlib import closing
@@ -17,10 +17,10 @@
     return SteadyClock()
 
 
-def test_an_idle_loop_reads_at_once(clock):
+def test_an_idle_loop_reads_events_immediately(clock):
     with closing(LoopWatch(clock)) as watch:
         watch.start()
-        # The watch begins with the next turn of the loop.
+        # Timing starts with the next iteration of the loop.
         gevent.sleep(0.01)
         before = clock.now()
         gevent.sleep(BUSY_SECONDS)
@@ -29,17 +29,17 @@
     assert before <= arrival.heard <= arrival.read
 
 
-def test_what_came_while_the_loop_was_busy_counts_from_then(clock):
-    """A process handles something long while messages arrive. Counted from when they
-    are read they look fresh, and the process seems to keep up however late it is.
+def test_events_during_a_busy_loop_arrive_before_they_are_read(clock):
+    """The arrival of events that waited for a busy loop must not be taken from the time
+    of reading, or an overloaded process would seem to keep up.
     """
     with closing(LoopWatch(clock)) as watch:
         watch.start()
         gevent.sleep(0.01)
-        came = clock.now()
+        arrived = clock.now()
         wake = gevent.spawn_later(0, lambda: watch.arrival)
         time.sleep(BUSY_SECONDS)
         arrival = wake.get()
-    assert arrival.earliest <= came
-    assert arrival.heard <= came
-    assert (arrival.read - came).total_seconds() >= BUSY_SECONDS
+    assert arrival.earliest <= arrived
+    assert arrival.heard <= arrived
+    assert (arrival.read - arrived).total_seconds() >= BUSY_SECONDS
