--- a/gypsumspoke/shell/settings_file.py
+++ b/gypsumspoke/shell/settings_file.py
@@ -1,7 +1,7 @@
-"""The settings file of a running process, which may change with or without a signal.
+"""Reloads the settings file of a running process, on a signal or when it changes.
 
-Only what can change while a process runs takes effect: the addresses of other entries.
-Addresses that the process listens on hold until its next start.
+Only the addresses of other entries take effect; all other settings, such as listening
+addresses, need a restart.
 """
 
 import logging
@@ -16,19 +16,17 @@
 from gypsumspoke.runs.directory import SettingsRead
 from gypsumspoke.runs.settings import RunSettings
 
-# A look at the file's time costs some microseconds; what changes is needed only when
-# most entries have been replaced.
-LOOK_SECONDS = 2.0
+POLL_INTERVAL_SECONDS = 2.0
 
 _log = logging.getLogger(__name__)
 
 
 class SettingsFile:
-    """Reads the file again.
+    """Reloads a settings file.
 
     Args:
       path: the file.
-      parse: reads and checks it.
+      parse: reads and validates it.
     """
 
     def __init__(
@@ -36,11 +34,11 @@
     ) -> None:
         self._path = path
         self._parse = parse
-        self._seen = self._stamp()
+        self._last_read = self._signature()
 
     def read(self, post: Callable[[Any], None]) -> None:
-        """Read the file and post what it names; invalid settings change nothing."""
-        self._seen = self._stamp()
+        """Read the file and post its entries; an invalid file changes nothing."""
+        self._last_read = self._signature()
         parsed = self._parse(self._path)
         if not is_successful(parsed):
             details = {"reason": parsed.failure()}
@@ -51,13 +49,13 @@
         post(SettingsRead(entries))
 
     def watch(self, post: Callable[[Any], None]) -> None:
-        """Read the file whenever it has changed, until killed."""
+        """Read the file whenever it changes, until killed."""
         while True:
-            gevent.sleep(LOOK_SECONDS)
-            if self._stamp() != self._seen:
+            gevent.sleep(POLL_INTERVAL_SECONDS)
+            if self._signature() != self._last_read:
                 self.read(post)
 
-    def _stamp(self) -> tuple[int, int] | None:
+    def _signature(self) -> tuple[int, int] | None:
         try:
             status = self._path.stat()
         except OSError:
