--- a/gypsumspoke/shell/metrics.py
+++ b/gypsumspoke/shell/metrics.py
@@ -1,7 +1,7 @@
-"""Metrics of one process, in a registry of their own.
+"""Prometheus metrics of one process, in a registry of their own.
 
-There is one child per error kind, retry reason and counted event, made at the start:
-a rate over a counter that appears only with its first event would miss that event.
+Counters exist at zero for every label value from the start: a rate over a counter that
+appears with its first event would miss that event.
 """
 
 from collections.abc import Callable
@@ -31,12 +31,12 @@
 
 
 class HistogramSpec(NamedTuple):
-    """How the values of one observation name are kept.
+    """The histogram for one observation name.
 
     Attributes:
-      help: what is measured.
-      label: name of the label that ``Observe.label`` fills.
-      buckets: upper bounds.
+      help: description of the measured value.
+      label: name of the label whose value is ``Observe.label``.
+      buckets: upper bounds of the buckets.
     """
 
     help: str
@@ -83,7 +83,7 @@
     """All metrics of one process.
 
     Args:
-      role, worker: identity, given in the metric ``gypsumspoke_build_info``.
+      role, worker: identity, exported as labels of ``gypsumspoke_build_info``.
     """
 
     def __init__(self, role: str = "", worker: str = "") -> None:
@@ -109,7 +109,7 @@
 
     @property
     def registry(self) -> CollectorRegistry:
-        """The registry, for collectors that a role adds."""
+        """The registry, to which roles can add collectors."""
         return self._registry
 
     def count(self, effect: Count) -> None:
@@ -117,19 +117,19 @@
         _family(effect.what, self).labels(effect.what.value).inc(effect.amount)
 
     def observe(self, effect: Observe) -> None:
-        """Record one measured value; a name without a histogram is left out."""
+        """Record one measured value; names without a histogram are ignored."""
         histogram = self._histograms.get(effect.name)
         if histogram is not None:
             label = self._bounded_label(effect.name, effect.label)
             histogram.labels(label).observe(effect.value)
 
     def gauge(self, name: str, description: str, read: Callable[[], float]) -> None:
-        """Add a gauge that is read when the metrics are.
+        """Add a gauge whose value is read when the metrics are rendered.
 
         Args:
-          name: name without the namespace, with its unit.
-          description: what is measured.
-          read: gives the value now.
+          name: name with its unit, without the namespace.
+          description: description of the measured value.
+          read: returns the current value.
         """
         gauge = Gauge(name, description, namespace=NAMESPACE, registry=self._registry)
         gauge.set_function(read)
@@ -175,8 +175,8 @@
         info.labels(__version__, role, worker).set(1)
 
     def _bounded_label(self, name: str, label: str) -> str:
-        # Each label value costs a set of buckets for as long as the process lives, so
-        # ever new values would fill the memory.
+        # Each label value occupies buckets until the process ends, so an unbounded
+        # number of values would exhaust the memory.
         known = self._labels[name]
         if label in known:
             return label
@@ -188,7 +188,7 @@
 
 @singledispatch
 def _family(what: Enum, metrics: Metrics) -> CounterMetric:
-    raise TypeError(f"nothing counts {what!r}")
+    raise TypeError(f"no counter for {what!r}")
 
 
 @_family.register
@@ -222,11 +222,11 @@
 
 
 def install(runtime, metrics: Metrics) -> None:
-    """Let a runtime's ``Count``, ``Observe`` and ``Log`` effects be carried out.
+    """Register the handlers of ``Count``, ``Observe`` and ``Log`` effects.
 
     Args:
       runtime: has ``handle(effect_type, callable)``.
-      metrics: takes counts and observations.
+      metrics: receives counts and observations.
     """
     runtime.handle(Count, metrics.count)
     runtime.handle(Observe, metrics.observe)
--- a/tests/shell/test_metrics.py
+++ b/tests/shell/test_metrics.py
@@ -1,4 +1,4 @@
-"""Every refusal, retry reason and counted event has its counter."""
+"""Counters, histograms and gauges."""
 
 import pytest
 
@@ -16,7 +16,7 @@
         (Counter.FENCE_SENT, "gypsumspoke_events_total", "event"),
     ],
 )
-def test_a_count_goes_to_its_own_metric(what, sample, label):
+def test_a_count_increments_the_counter_of_its_kind(what, sample, label):
     metrics = Metrics()
     assert metrics.registry.get_sample_value(sample, {label: what.value}) == 0
     metrics.count(Count(what, 2))
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize("name", HISTOGRAMS)
-def test_an_observation_goes_to_its_histogram(name):
+def test_an_observation_is_added_to_its_histogram(name):
     metrics = Metrics()
     metrics.observe(Observe(name, 1.5, "x"))
     labels = {HISTOGRAMS[name].label: "x"}
@@ -40,7 +40,7 @@
     assert metrics.registry.get_sample_value(sample, {"team": "other"}) == 5
 
 
-def test_a_gauge_is_read_when_the_metrics_are():
+def test_gauges_are_read_when_the_metrics_are_rendered():
     metrics = Metrics(role="sidecar", worker="w1")
     metrics.gauge("running_tasks", "Tasks at the upstream.", lambda: 3)
     text = metrics.render().decode()
