--- a/gypsumspoke/shell/manifest_history.py
+++ b/gypsumspoke/shell/manifest_history.py
@@ -11,7 +11,7 @@
 from gypsumspoke.core.values import Row
 
 HISTORY_KEY = "changes/manifest"
-HISTORY_LENGTH = 50
+MAX_HISTORY_LENGTH = 50
 
 
 class Change(NamedTuple):
--- a/gypsumspoke/shell/operator_http.py
+++ b/gypsumspoke/shell/operator_http.py
@@ -1,9 +1,9 @@
 """The operators' HTTP interface of an entry, on its administration port.
 
-Operators race one another, and an answer of the table may be lost after the write took
-effect. So every change is a compare-and-set on what was read, and a lost answer is
-resolved before the operator is told anything: the same transaction is sent again, which
-commits, or conflicts with itself, and then the row read back tells whose change it was.
+Operators may change the same row concurrently, and the table's answer to a write that
+took effect may be lost. So every change is a compare-and-set. After a lost answer the
+same transaction is sent again, which commits or conflicts with itself; then the row is
+read back to find out whether the change took effect.
 """
 
 import json
@@ -40,7 +40,7 @@
 from gypsumspoke.shell.job_answers import problem
 from gypsumspoke.shell.manifest_history import (
     HISTORY_KEY,
-    HISTORY_LENGTH,
+    MAX_HISTORY_LENGTH,
     Change,
     StoredManifest,
     digest_of,
@@ -54,14 +54,14 @@
 STATUS_PATH = "/v1/status"
 WORKERS_PATH = "/v1/workers/"
 CHANGE_ID_HEADER = "Gypsumspoke-Change-Id"
-MANIFEST_LIMIT = 512 * 1024
-CHANGE_ID_LENGTH = 100
+MAX_BODY_BYTES = 512 * 1024
+MAX_CHANGE_ID_LENGTH = 100
 
 _log = logging.getLogger(__name__)
 
 
 class _Refused(Exception):
-    """Carries a refusal out of the checks; never leaves this module."""
+    """Aborts a request with the given answer; caught in this module."""
 
     def __init__(self, kind: ErrorKind, detail: str, **more: Any) -> None:
         super().__init__(detail)
@@ -74,7 +74,7 @@
 
     Args:
       table: the platform's table.
-      view: gives this process's membership view, to be read only.
+      view: returns the membership view of this process, which must not be modified.
       post: queues an event for the reducer.
       count: counts a refusal.
       clock: source of time.
@@ -118,7 +118,7 @@
             if action == "drain":
                 return self._drain(worker)
             if action == "gone":
-                return self._gone(worker, environ)
+                return self._declare_ended(worker, environ)
         raise _Refused(ErrorKind.INVALID_REQUEST, f"no such request: {method} {path}")
 
     # -----------------------------------------------------------------------
@@ -149,16 +149,18 @@
         elif known.digest == digest_of(text):
             version = known.version
         else:
-            detail = "the change id was used with another manifest"
+            detail = "the change id was already used for another manifest"
             raise _Refused(ErrorKind.CONFLICT, detail)
-        _note(logging.INFO, "manifest accepted", version=version, change_id=change_id)
+        _log_event(
+            logging.INFO, "manifest accepted", version=version, change_id=change_id
+        )
         self._post(Received("", ManifestUpdate(version, text)))
         return json_answer({"version": version, "change_id": change_id})
 
     def _replace_manifest(
         self, stored: StoredManifest, text: str, base: int, change_id: str
     ) -> int:
-        """Write the manifest in place of the version the operator read."""
+        """Replace manifest version ``base`` and return the new version."""
         if stored.version != base:
             raise _conflict(base, stored.version)
         accepted = self._clock.now().isoformat()
@@ -167,12 +169,12 @@
             (MANIFEST_KEY, stored.version),
             (HISTORY_KEY, stored.history_version),
         )
-        changes = (change, *stored.changes)[:HISTORY_LENGTH]
+        changes = (change, *stored.changes)[:MAX_HISTORY_LENGTH]
         writes = ((MANIFEST_KEY, text), (HISTORY_KEY, history_value(changes)))
         written = self._table.write(checks, writes)
         if written.outcome is WriteOutcome.COMMITTED:
             return written.revision
-        # Whether it took effect or another change came first, the history tells.
+        # The history shows whether this change or another one took effect.
         read_back = self._stored_manifest()
         found = read_back.change(change_id)
         if found is not None:
@@ -180,13 +182,13 @@
         if written.outcome is WriteOutcome.LOST:
             raise _Refused(
                 ErrorKind.STORE_UNAVAILABLE,
-                "the change may still take effect; ask again with the same change id",
+                "the change may still take effect; retry with the same change id",
             )
         raise _conflict(base, read_back.version)
 
     def _stored_manifest(self) -> StoredManifest:
-        # The history is read first: read last, it could name a change that is newer
-        # than the text, and a pipeline would take an old text for its own.
+        # The history is read first: a history newer than the text would attribute the
+        # old text to the new change.
         history = self._read(HISTORY_KEY).get(HISTORY_KEY, Row(HISTORY_KEY, 0, None))
         row = self._read(MANIFEST_KEY).get(MANIFEST_KEY, Row(MANIFEST_KEY, 0, None))
         changes = history_of(history)
@@ -268,10 +270,10 @@
         return status
 
     def _drain(self, worker: str) -> HttpAnswer:
-        """Mark the worker's row; its process reads the mark and drains.
+        """Mark the worker's row as draining.
 
-        The mark reaches it by the versions on heartbeats, also when the connection
-        between it and this entry does not work.
+        Heartbeats carry row versions, so the process reads the mark even if it has no
+        connection to this entry.
         """
         row, member = self._live_row(worker)
         if not member.draining:
@@ -280,22 +282,22 @@
             {"worker": worker, "incarnation": member.incarnation, "draining": True}
         )
 
-    def _gone(self, worker: str, environ: Environ) -> HttpAnswer:
-        """Declare an incarnation ended with its memory, on the operator's word.
+    def _declare_ended(self, worker: str, environ: Environ) -> HttpAnswer:
+        """Record an incarnation as ended, as confirmed by the operator.
 
-        Homes stop waiting for it. If it still ran, what it starts would be unknown to
-        them; so the operator names the incarnation, which a restarted worker no longer
-        bears, and one that answers this entry is refused.
+        Homes stop waiting for it, and would not know what it starts if it still ran.
+        So the request must name the incarnation, which changes with a restart, and is
+        refused for a process that is reachable from this entry.
         """
         row, member = self._live_row(worker)
         self._check_confirmation(environ, member)
         if self._is_reachable(member):
             raise _Refused(
-                ErrorKind.CONFLICT, "the process still answers; drain it instead"
+                ErrorKind.CONFLICT, "the process is still reachable; drain it instead"
             )
         ended = member._replace(ended=self._clock.now())
         self._change_member(row, ended)
-        _note(
+        _log_event(
             logging.WARNING,
             "worker declared gone by an operator",
             of_worker=worker,
@@ -311,7 +313,7 @@
         except ValueError:
             fields = None
         if not isinstance(fields, dict):
-            raise _Refused(ErrorKind.INVALID_REQUEST, "the body is no JSON object")
+            raise _Refused(ErrorKind.INVALID_REQUEST, "the body is not a JSON object")
         confirmed = fields.get("confirm_ended_for_good") is True
         if not confirmed or fields.get("incarnation") != member.incarnation:
             raise _Refused(
@@ -322,7 +324,7 @@
             )
 
     def _live_row(self, worker: str) -> tuple[Row, Member]:
-        """Return the row of the worker's live incarnation, read just now."""
+        """Read and return the row of the worker's live incarnation."""
         live = []
         for row in self._read(MEMBERS_PREFIX).values():
             try:
@@ -344,7 +346,7 @@
             if now is None or now.value != value:
                 lost = written.outcome is WriteOutcome.LOST
                 kind = ErrorKind.STORE_UNAVAILABLE if lost else ErrorKind.CONFLICT
-                raise _Refused(kind, "the member's row changed meanwhile")
+                raise _Refused(kind, "the member's row was changed concurrently")
         self._post(membership.ViewOutdated())
         return changed
 
@@ -368,31 +370,33 @@
 
     def _body(self, environ: Environ) -> str:
         try:
-            return read_body(environ, MANIFEST_LIMIT).decode()
+            return read_body(environ, MAX_BODY_BYTES).decode()
         except TooLarge:
             raise _Refused(
-                ErrorKind.BODY_TOO_LARGE, f"at most {MANIFEST_LIMIT} bytes are taken"
+                ErrorKind.BODY_TOO_LARGE, f"the body exceeds {MAX_BODY_BYTES} bytes"
             ) from None
         except (OSError, UnicodeDecodeError) as error:
-            raise _Refused(ErrorKind.INVALID_REQUEST, f"bad body: {error}") from error
+            raise _Refused(
+                ErrorKind.INVALID_REQUEST, f"unreadable body: {error}"
+            ) from error
 
 
-def _note(level: int, event: str, **details: str | int) -> None:
-    """Write one log line in the shape of ``shell/logs.py``."""
+def _log_event(level: int, event: str, **details: str | int) -> None:
+    """Write one log line in the format of ``shell/logs.py``."""
     _log.log(level, {"message": event, "details": details})
 
 
 def _conflict(base: int, current: int) -> _Refused:
-    detail = f"version {base} is not in force, but {current}"
+    detail = f"version {base} is not current; the current version is {current}"
     return _Refused(ErrorKind.CONFLICT, detail, current_version=current)
 
 
 def _base_version(environ: Environ) -> int:
-    """Return the version that the operator read, from If-Match; 0 for none."""
+    """Return the version that the operator read, from If-Match; 0 means none."""
     text = environ.get("HTTP_IF_MATCH", "").strip().strip('"')
     if not text.isdecimal() or len(text) > 18:
         raise _Refused(
-            ErrorKind.INVALID_REQUEST, 'If-Match must be the version read, as "7"'
+            ErrorKind.INVALID_REQUEST, 'If-Match must be the version read, such as "7"'
         )
     return int(text)
 
@@ -400,8 +404,9 @@
 def _change_id(environ: Environ) -> str:
     variable = "HTTP_" + CHANGE_ID_HEADER.upper().replace("-", "_")
     change_id = environ.get(variable, "")
-    if not 0 < len(change_id) <= CHANGE_ID_LENGTH:
+    if not 0 < len(change_id) <= MAX_CHANGE_ID_LENGTH:
         raise _Refused(
-            ErrorKind.INVALID_REQUEST, f"{CHANGE_ID_HEADER} must name this change"
+            ErrorKind.INVALID_REQUEST,
+            f"{CHANGE_ID_HEADER} must have 1 to {MAX_CHANGE_ID_LENGTH} characters",
         )
     return change_id
--- a/gypsumspoke/shell/operator_table.py
+++ b/gypsumspoke/shell/operator_table.py
@@ -1,4 +1,4 @@
-"""The platform's table as operators' requests use it: call and wait for the answer."""
+"""Blocking access to the platform's table for operators' requests."""
 
 import itertools
 from typing import Any
@@ -11,15 +11,15 @@
 from gypsumspoke.core.values import Row
 from gypsumspoke.shell.table_client import TableClient
 
-WRITE_TRIES = 3
-TABLE_ANSWER_SECONDS = 8.0
+MAX_WRITE_ATTEMPTS = 3
+ANSWER_TIMEOUT_SECONDS = 8.0
 
 
 class OperatorTable:
-    """Calls the platform's table and waits for its answer.
+    """Calls the platform's table and waits for the answer.
 
     Args:
-      client: a client of its own, so that operators don't wait behind the role.
+      client: a separate client, so that operators don't wait for the role's calls.
     """
 
     def __init__(self, client: TableClient) -> None:
@@ -29,12 +29,12 @@
         client.start(self._resolve)
 
     def close(self) -> None:
-        """Stop; calls under way go unanswered."""
+        """Stop; pending calls get no answer."""
         self._client.close()
 
     def read(self, prefix: str) -> dict[str, Row] | None:
-        """Return the rows whose key starts with ``prefix``, or None without answer."""
-        request = self._next()
+        """Return the rows whose key starts with ``prefix``; None without an answer."""
+        request = self._next_request()
         event = self._call(ReadRows(request, prefix), RowsRead(request, None))
         if event.rows is None:
             return None
@@ -45,13 +45,13 @@
         checks: tuple[tuple[str, int], ...],
         writes: tuple[tuple[str, str | None], ...],
     ) -> RowsWritten:
-        """Run one transaction; while its answer is lost, send the very same again.
+        """Run one transaction; repeat it while its answer is lost.
 
-        Sent again it can't take effect twice, because the first would have changed a
-        checked row. A CONFLICT after a lost answer may be with itself.
+        It can't take effect twice, because the first commit changes a checked row. A
+        CONFLICT after a lost answer may be a conflict with the first attempt.
         """
-        for _ in range(WRITE_TRIES):
-            request = self._next()
+        for _ in range(MAX_WRITE_ATTEMPTS):
+            request = self._next_request()
             lost = RowsWritten(request, WriteOutcome.LOST, 0)
             event = self._call(WriteRows(request, checks, writes), lost)
             if event.outcome is not WriteOutcome.LOST:
@@ -63,7 +63,7 @@
         self._waiting[effect.request] = result
         try:
             self._client.call(effect)
-            return result.get(timeout=TABLE_ANSWER_SECONDS)
+            return result.get(timeout=ANSWER_TIMEOUT_SECONDS)
         except gevent.Timeout:
             return lost
         finally:
@@ -74,5 +74,5 @@
         if waiting is not None:
             waiting.set(event)
 
-    def _next(self) -> str:
+    def _next_request(self) -> str:
         return f"operator:{next(self._numbers)}"
--- a/tests/shell/test_operator_http.py
+++ b/tests/shell/test_operator_http.py
@@ -1,4 +1,4 @@
-"""The operators' interface of an entry, over real HTTP and a table with faults."""
+"""The operators' HTTP interface of an entry, with a table that can fail."""
 
 import json
 
@@ -49,17 +49,17 @@
     return json.dumps({**MANIFEST, "teams": [team]})
 
 
-def own_row(table, incarnation):
+def member_row(table, incarnation):
     [row] = table.post("/v1/read", {"prefix": member_key(incarnation)})["rows"]
     return json.loads(row["value"])
 
 
-def reaches_home(status):
+def is_home_reachable(status):
     [member] = [m for m in status["members"] if m["worker"] == "home"]
     return member["reachable"]
 
 
-def test_a_manifest_comes_into_force_and_is_shown_with_its_change(operator):
+def test_an_applied_manifest_takes_effect_and_is_returned_with_its_change_id(operator):
     status, _, body = operator.apply(operator.version(), "c1", manifest(5))
     assert status == 200
     _, headers, shown = operator.get("/v1/manifest")
@@ -74,11 +74,9 @@
     operator.wait_status("/v1/manifest/status", is_in_force)
 
 
-def test_of_two_racing_operators_one_gets_a_conflict(operator):
-    """Two operators read the same version and both apply a change of their own.
-
-    The first is accepted; the second is told that another change came first and which
-    version is in force, and its manifest has no effect.
+def test_of_two_concurrent_changes_one_gets_a_conflict(operator):
+    """Of two changes based on the same version, the second is refused with the current
+    version and has no effect.
     """
     base = operator.version()
     _, _, first = operator.apply(base, "c1", manifest(5))
@@ -89,10 +87,8 @@
 
 
 def test_a_lost_answer_is_resolved_by_the_change_id(operator, table):
-    """The table takes the change but its answer is lost, twice.
-
-    The entry sends the same transaction again, which conflicts with itself, and finds
-    the change id when it reads back: the operator is told the version it got.
+    """The table commits the change but its answer is lost. The repeated transaction
+    conflicts with itself, and the entry finds the change id when it reads back.
     """
     base = operator.version()
     table.post("/faults", {"lose_answers": 1})
@@ -100,7 +96,7 @@
     assert (status, body["version"]) == (200, operator.version())
 
 
-def test_a_change_sent_again_is_found_even_after_a_later_one(operator):
+def test_a_repeated_change_is_recognised_after_a_later_one(operator):
     _, _, first = operator.apply(operator.version(), "c1", manifest(5))
     _, _, second = operator.apply(first["version"], "c2", manifest(6))
     status, _, again = operator.apply(first["version"], "c1", manifest(5))
@@ -113,14 +109,14 @@
     assert operator.apply(first["version"], "c1", manifest(6))[0] == 409
 
 
-def test_a_bad_manifest_is_refused_with_the_paths(operator):
+def test_an_invalid_manifest_is_refused_with_the_paths_of_errors(operator):
     status, _, body = operator.apply(operator.version(), text='{"teams": [{}]}')
     assert (status, body["kind"]) == (422, "invalid_manifest")
     assert any("teams[0].name" in error for error in body["errors"])
 
 
 @pytest.mark.parametrize("missing", ["If-Match", CHANGE_ID])
-def test_a_change_must_name_what_it_replaces_and_itself(operator, missing):
+def test_a_change_needs_its_base_version_and_a_change_id(operator, missing):
     headers = {"If-Match": '"1"', CHANGE_ID: "c1"}
     del headers[missing]
     body = manifest(5).encode()
@@ -128,9 +124,7 @@
     assert (status, body["kind"]) == (400, "invalid_request")
 
 
-def test_without_the_table_a_change_is_unknown_and_says_when_to_come_back(
-    operator, table
-):
+def test_without_the_table_a_change_is_uncertain_with_retry_after(operator, table):
     base = operator.version()
     table.post("/faults", {"down": True})
     status, headers, body = operator.apply(base, "c1", manifest(5))
@@ -142,39 +136,37 @@
     assert "retry-after" in headers
 
 
-def test_the_status_tells_who_is_reachable(operator, home):
-    operator.wait_status("/v1/status", reaches_home)
+def test_the_status_shows_reachable_members(operator, home):
+    operator.wait_status("/v1/status", is_home_reachable)
 
 
-def test_a_drain_is_marked_in_the_row_of_the_worker(operator, table):
+def test_a_drain_marks_the_row_of_the_worker(operator, table):
     status, _, body = operator.post("/v1/workers/home/drain")
     assert (status, body["draining"]) == (200, True)
-    assert own_row(table, "home-1")["draining"] is True
+    assert member_row(table, "home-1")["draining"] is True
     assert operator.post("/v1/workers/nobody/drain")[0] == 400
 
 
-def test_an_entry_that_is_drained_by_an_operator_exits(operator, entry):
+def test_a_drained_entry_exits(operator, entry):
     assert operator.post("/v1/workers/entry-a/drain")[0] == 200
     assert entry.process.wait_exit() == 0
 
 
 def test_gone_needs_the_incarnation_and_a_confirmation(operator, table, home):
-    """An operator declares a worker gone whose process may still run.
-
-    Without the confirmation, or about a process that still answers, nothing changes;
-    once it is silent, the named incarnation is ended in the table.
+    """A worker that may still run is declared ended only with a confirmation of its
+    incarnation, and only once it is unreachable.
     """
     path = "/v1/workers/home/gone"
     confirmed = {"incarnation": "home-1", "confirm_ended_for_good": True}
     for body in (None, {}, {**confirmed, "incarnation": "home-0"}, [1]):
         assert operator.post(path, body)[0] == 400
-    operator.wait_status("/v1/status", reaches_home)
+    operator.wait_status("/v1/status", is_home_reachable)
     assert operator.post(path, confirmed)[2]["kind"] == "conflict"
     home.links.close()
 
-    operator.wait_status("/v1/status", lambda status: not reaches_home(status))
+    operator.wait_status("/v1/status", lambda status: not is_home_reachable(status))
     assert operator.post(path, confirmed)[0] == 200
-    assert own_row(table, "home-1")["ended"] is not None
+    assert member_row(table, "home-1")["ended"] is not None
 
 
 def test_the_first_manifest_replaces_version_0(processes, table):
@@ -185,7 +177,7 @@
     entry.wait_ready()
 
 
-def test_a_registration_whose_answer_was_lost_counts(processes, table):
+def test_a_registration_with_a_lost_answer_is_effective(processes, table):
     home = Home()
     write(
         table,
@@ -196,12 +188,12 @@
     )
     table.post("/faults", {"lose_answers": 1})
     entry = Entry(processes, table).wait_ready()
-    assert own_row(table, entry.incarnation)["ended"] is None
+    assert member_row(table, entry.incarnation)["ended"] is None
     home.links.close()
 
 
 def test_each_refusal_is_counted(operator):
-    """Whoever watches the entries sees that operators race or bring bad manifests."""
+    """Conflicts and invalid manifests appear in the metrics."""
     operator.apply(base=operator.version(), text="{")
     operator.apply(base=operator.version() + 1)
     metrics = bytes(request(operator.port, "GET", "/metrics")[2]).decode()
