--- a/gypsumspoke/shell/table_client.py
+++ b/gypsumspoke/shell/table_client.py
@@ -1,8 +1,7 @@
 """Reads and writes the platform's table.
 
-A transaction whose answer is lost may have taken effect. It is reported LOST, never
-COMMITTED and never CONFLICT, and it is not sent again here: the reducer that asked
-reads back and decides.
+A transaction whose answer is lost may have taken effect. It is reported as LOST, never
+as COMMITTED or CONFLICT, and is not repeated here: the reducer reads back and decides.
 """
 
 import json
@@ -25,7 +24,7 @@
 TRANSACTION_PATH = "/v1/transactions"
 
 MAX_CALLS = 4
-MAX_WAITING = 256
+MAX_QUEUED = 256
 
 _LIMITS = ExchangeLimits(
     connect_timeout=timedelta(seconds=1),
@@ -40,11 +39,11 @@
 
 
 class TableClient:
-    """Performs ``ReadRows`` and ``WriteRows`` with a few calls at a time.
+    """Performs ``ReadRows`` and ``WriteRows`` with bounded concurrency.
 
     Args:
-      address: IP number and port of the table service.
-      limits: bounds of one call.
+      address: IP address and port of the table service.
+      limits: timeouts and size bound of one call.
     """
 
     def __init__(
@@ -53,34 +52,34 @@
         self._address = address
         self._limits = limits
         self._post_event: Callable[[RowsRead | RowsWritten], None] | None = None
-        self._waiting: Queue[ReadRows | WriteRows] = Queue(maxsize=MAX_WAITING)
+        self._queue: Queue[ReadRows | WriteRows] = Queue(maxsize=MAX_QUEUED)
         self._greenlets: list[gevent.Greenlet] = []
 
     def start(self, post_event: Callable[[RowsRead | RowsWritten], None]) -> None:
-        """Begin to carry out calls.
+        """Start performing queued calls.
 
         Args:
-          post_event: receives the outcome of each.
+          post_event: receives the outcome of each call.
         """
         self._post_event = post_event
-        self._greenlets = [gevent.spawn(self._work) for _ in range(MAX_CALLS)]
+        self._greenlets = [gevent.spawn(self._perform_queued) for _ in range(MAX_CALLS)]
 
     def close(self) -> None:
-        """Stop; calls under way go unanswered."""
+        """Stop; pending calls get no outcome."""
         gevent.killall(self._greenlets)
 
     def call(self, effect: ReadRows | WriteRows) -> None:
-        """Queue one call; returns at once."""
+        """Queue one call without blocking."""
         try:
-            self._waiting.put_nowait(effect)
+            self._queue.put_nowait(effect)
         except Full:
-            # With the table down for long, waiting calls would pile up. LOST is the
-            # weakest claim, so it is true of a call that was never made as well.
+            # The queue fills up while the table is down. LOST makes no claim about the
+            # effect of a call, so it also holds for a call that was never made.
             self._post_event(_lost(effect))
 
-    def _work(self) -> None:
+    def _perform_queued(self) -> None:
         while True:
-            effect = self._waiting.get()
+            effect = self._queue.get()
             try:
                 event = self._perform(effect)
             except Exception:
@@ -118,7 +117,7 @@
         return _lost(effect)
 
     def _post(self, path: str, body: Any) -> Result[tuple[int, dict], str]:
-        """Return the status and JSON object of an answer, or why there is none."""
+        """Return the status and JSON object of the answer, or the reason for none."""
         payload = json.dumps(body).encode()
         answered = post(self._address, path, _HEADERS, payload, self._limits)
         if not is_successful(answered):
--- a/tests/shell/test_table_client.py
+++ b/tests/shell/test_table_client.py
@@ -1,4 +1,4 @@
-"""The table client against the stand-in on the same loop, with each of its faults."""
+"""The table client with a simulated table and each of its faults."""
 
 from datetime import timedelta
 
@@ -9,21 +9,21 @@
 from gypsumspoke.core.events import WriteOutcome
 from gypsumspoke.core.values import Row
 from gypsumspoke.shell.http_exchange import ExchangeLimits
-from gypsumspoke.shell.table_client import MAX_CALLS, MAX_WAITING, TableClient
+from gypsumspoke.shell.table_client import MAX_CALLS, MAX_QUEUED, TableClient
 from tests.standins.processes import call_json
 from tests.standins.server import make_server
 from tests.standins.sockets import Server, closed_port
 from tests.standins.table import Table
 
-BOUND_SECONDS = 30
+TIMEOUT_SECONDS = 30
 LIMITS = ExchangeLimits(timedelta(seconds=5), timedelta(seconds=5), 100_000)
-HASTY = LIMITS._replace(answer_timeout=timedelta(seconds=0.1))
+SHORT_LIMITS = LIMITS._replace(answer_timeout=timedelta(seconds=0.1))
 ADD = WriteRows("w1", (("a", 0),), (("a", "1"),))
 READ = ReadRows("r1", "")
 
 
-class Bench:
-    """A client and what it answered."""
+class ClientHarness:
+    """A client and the events it posts."""
 
     def __init__(self, address, limits=LIMITS):
         self._events = Queue()
@@ -32,15 +32,15 @@
         self.close = self._client.close
 
     def call(self, effect):
-        """Carry out one call and return its event."""
+        """Perform one call and return its event."""
         self._client.call(effect)
-        return self._events.get(timeout=BOUND_SECONDS)
+        return self._events.get(timeout=TIMEOUT_SECONDS)
 
     def call_all(self, effects):
-        """Queue all calls, then return as many events."""
+        """Queue all calls and return their events."""
         for effect in effects:
             self._client.call(effect)
-        return [self._events.get(timeout=BOUND_SECONDS) for _ in effects]
+        return [self._events.get(timeout=TIMEOUT_SECONDS) for _ in effects]
 
 
 @pytest.fixture
@@ -52,21 +52,21 @@
 
 
 @pytest.fixture
-def bench():
-    benches = []
+def make_client():
+    clients = []
 
     def make(address, limits=LIMITS):
-        benches.append(Bench(address, limits))
-        return benches[-1]
+        clients.append(ClientHarness(address, limits))
+        return clients[-1]
 
     yield make
-    for each in benches:
-        each.close()
+    for client in clients:
+        client.close()
 
 
 @pytest.fixture
-def table(port, bench):
-    return bench(("127.0.0.1", port))
+def table(port, make_client):
+    return make_client(("127.0.0.1", port))
 
 
 def set_faults(port, **faults):
@@ -85,7 +85,7 @@
     assert table.call(ADD).outcome is WriteOutcome.CONFLICT
 
 
-def test_versions_grow_across_a_delete(table):
+def test_versions_increase_across_a_delete(table):
     first = table.call(ADD).revision
     table.call(WriteRows("w2", (("a", first),), (("a", None),)))
     assert table.call(ADD).revision > first
@@ -96,11 +96,9 @@
     assert [row.key for row in table.call(ReadRows("r", "b/")).rows] == ["b/1"]
 
 
-def test_a_lost_answer_is_lost_and_written_once(port, table):
-    """The table carries out the transaction and its answer never arrives.
-
-    A resend would conflict with the first and be told as CONFLICT though the row was
-    written. So it is LOST, and the reducer reads back.
+def test_a_lost_answer_is_not_repeated(port, table):
+    """A repeated transaction would conflict with itself and be reported as CONFLICT
+    although the row was written.
     """
     set_faults(port, lose_answers=1)
     assert table.call(ADD).outcome is WriteOutcome.LOST
@@ -108,7 +106,7 @@
     assert call_json(port, "GET", "/counts")[1]["writes"] == 1
 
 
-def test_a_table_that_is_down_loses_writes_and_reads(port, table):
+def test_calls_to_an_unavailable_table_are_lost(port, table):
     set_faults(port, down=True)
     assert table.call(ADD).outcome is WriteOutcome.LOST
     assert table.call(READ).rows is None
@@ -116,15 +114,15 @@
     assert table.call(READ).rows == ()
 
 
-def test_a_slow_table_is_lost_after_the_bound(port, bench):
-    table = bench(("127.0.0.1", port), HASTY)
-    set_faults(port, delay_seconds=BOUND_SECONDS)
+def test_calls_to_a_slow_table_are_lost_after_the_timeout(port, make_client):
+    table = make_client(("127.0.0.1", port), SHORT_LIMITS)
+    set_faults(port, delay_seconds=TIMEOUT_SECONDS)
     assert table.call(ADD).outcome is WriteOutcome.LOST
     assert table.call(READ).rows is None
 
 
-def test_an_absent_table_is_lost(bench):
-    assert bench(closed_port()).call(ADD).outcome is WriteOutcome.LOST
+def test_a_refused_connection_is_lost(make_client):
+    assert make_client(closed_port()).call(ADD).outcome is WriteOutcome.LOST
 
 
 @pytest.mark.parametrize(
@@ -138,19 +136,19 @@
         (500, b'{"committed": true, "revision": 1}'),
     ],
 )
-def test_a_strange_answer_is_lost(bench, status, body):
+def test_an_invalid_answer_is_lost(make_client, status, body):
     head = f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n\r\n".encode()
     server = Server(head + body)
-    client = bench(server.address)
+    client = make_client(server.address)
     assert client.call(ADD).outcome is WriteOutcome.LOST
     assert client.call(READ).rows is None
     server.close()
 
 
-def test_calls_over_the_bound_are_lost_at_once(bench):
+def test_calls_over_the_queue_bound_are_lost_at_once(make_client):
     server = Server(None)
-    client = bench(server.address, HASTY)
-    events = client.call_all([ADD] * (MAX_WAITING + MAX_CALLS + 5))
+    client = make_client(server.address, SHORT_LIMITS)
+    events = client.call_all([ADD] * (MAX_QUEUED + MAX_CALLS + 5))
     assert {event.outcome for event in events} == {WriteOutcome.LOST}
     assert server.accepted < len(events)
     server.close()
