--- a/gypsumspoke/shell/upstream_client.py
+++ b/gypsumspoke/shell/upstream_client.py
@@ -1,7 +1,7 @@
-"""Runs tasks at the upstream beside this process.
+"""Runs tasks at the upstream of this process.
 
-Each task is one POST on a connection of its own. NOT_RUN is claimed only when no
-connection was made; after the first byte may have left, a missing answer is UNKNOWN.
+Each task is one POST on its own connection. The outcome is NOT_RUN only if no
+connection was made; once bytes may have been sent, a missing answer is UNKNOWN.
 """
 
 import logging
@@ -53,7 +53,7 @@
     """Performs ``StartUpstream`` and reports ``UpstreamAnswered``.
 
     Args:
-      address: IP number and port of the upstream.
+      address: IP address and port of the upstream.
       post_event: receives the outcomes.
     """
 
@@ -69,22 +69,22 @@
 
     @property
     def running(self) -> int:
-        """Number of tasks at the upstream."""
+        """Number of tasks running at the upstream."""
         return self._running
 
     def set_port(self, port: int) -> None:
-        """Take the upstream's port for tasks that start from now on."""
+        """Set the upstream's port for tasks that start from now on."""
         host, _ = self._address
         self._address = (host, port)
 
     def set_policy(self, policy: ServicePolicy) -> None:
-        """Take the bounds for tasks that start from now on."""
+        """Set the policy for tasks that start from now on."""
         self._policy = policy
 
     def start(self, effect: StartUpstream) -> None:
-        """Begin to run a task; returns at once."""
-        # The executor starts no more tasks than it has slots. This bound holds when
-        # the manifest allows fewer connections than that.
+        """Start a task without blocking."""
+        # The executor starts at most as many tasks as it has slots, but the manifest
+        # may allow fewer connections.
         if self._running >= self._policy.connections:
             self._report(
                 effect, Outcome.NOT_RUN, b"", RetryReason.EXECUTOR_QUEUE_FULL.value
@@ -94,8 +94,8 @@
         gevent.spawn(self._run, effect, self._policy)
 
     def _run(self, effect: StartUpstream, policy: ServicePolicy) -> None:
-        # An error in here must not leave the executor waiting for ever with a slot
-        # taken. It can't be said how far the request went, so it is UNKNOWN.
+        # Every task must get an outcome, or its slot would stay occupied. After an
+        # unexpected error it is unknown how far the request went.
         outcome, result = Outcome.UNKNOWN, b""
         reason = RetryReason.UPSTREAM_BROKEN.value
         try:
@@ -114,7 +114,7 @@
         )
         answered = post(self._address, RUN_PATH, _headers(effect), effect.body, limits)
         if is_successful(answered):
-            return _judge(answered.unwrap())
+            return _task_outcome(answered.unwrap())
         outcome, reason = _ERRORS[answered.failure()]
         return outcome, b"", reason.value
 
@@ -124,18 +124,18 @@
         self._post_event(UpstreamAnswered(effect.attempt, outcome, result, reason))
 
 
-def _judge(answer: HttpAnswer) -> tuple[Outcome, bytes, str]:
-    """Return what the upstream's answer says about the task."""
+def _task_outcome(answer: HttpAnswer) -> tuple[Outcome, bytes, str]:
+    """Return the outcome, result and retry reason for the upstream's answer."""
     if _FIRST_SUCCESS <= answer.status <= _LAST_SUCCESS:
         return Outcome.DONE, answer.body, ""
     return Outcome.FAILED, b"", RetryReason.UPSTREAM_FAILED.value
 
 
 def _headers(effect: StartUpstream) -> tuple[tuple[str, str], ...]:
-    """Return the headers that name the task.
+    """Return the headers that identify the task.
 
-    Team and key are the caller's text: percent-encoded, so that no line end in one can
-    add a header or a request of its own.
+    Team and key are chosen by the caller and are percent-encoded to prevent header
+    injection.
     """
     key = effect.attempt.key
     return (
--- a/gypsumspoke/shell/upstream_http.py
+++ b/gypsumspoke/shell/upstream_http.py
@@ -1,8 +1,8 @@
-"""Where the upstream announces itself to the sidecar beside it.
+"""The HTTP interface through which an upstream announces itself to its sidecar.
 
-There is no list of upstreams: each says what it is when it is up, and that it leaves
-before it stops. The announcement goes to the sidecar's administration port, and may be
-repeated at any time, since a sidecar that was replaced knows nothing of earlier ones.
+An upstream announces its service once it is up, and that it leaves before it stops, at
+the sidecar's administration port. It may repeat the announcement at any time, because a
+restarted sidecar has lost earlier ones.
 """
 
 from collections.abc import Callable, Iterable
@@ -28,18 +28,18 @@
 from gypsumspoke.shell.job_answers import problem
 
 UPSTREAM_PATH = "/v1/upstream"
-BODY_LIMIT = 16 * 1024
+MAX_BODY_BYTES = 16 * 1024
 
 
 class UpstreamHttp:
     """The WSGI application towards the upstream.
 
     Args:
-      view: gives the sidecar's state, to be read only.
+      view: returns the sidecar's state, which must not be modified.
       post: queues an event for the reducer.
       count: counts a refusal.
-      set_port: takes the upstream's port for tasks that start from now on.
-      port: the upstream's port as the settings have it; 0 if they leave it open.
+      set_port: sets the upstream's port for tasks that start from now on.
+      port: the upstream's port from the settings; 0 if not set there.
     """
 
     def __init__(
@@ -70,40 +70,40 @@
 
     def _announce(self, environ: Environ) -> HttpAnswer:
         try:
-            text = read_body(environ, BODY_LIMIT).decode()
+            text = read_body(environ, MAX_BODY_BYTES).decode()
         except TooLarge:
-            detail = f"at most {BODY_LIMIT} bytes are taken"
+            detail = f"the body exceeds {MAX_BODY_BYTES} bytes"
             return self._refuse(detail, ErrorKind.BODY_TOO_LARGE)
         except (OSError, UnicodeDecodeError) as error:
-            return self._refuse(f"bad body: {error}")
+            return self._refuse(f"unreadable body: {error}")
         parsed = parse_announcement(text)
         if not is_successful(parsed):
             return self._refuse("; ".join(str(error) for error in parsed.failure()))
         announcement = parsed.unwrap()
-        reason = self._objection(announcement)
+        reason = self._refusal_reason(announcement)
         if reason:
             return self._refuse(reason)
-        self._take(announcement)
+        self._apply(announcement)
         return json_answer(self._status())
 
-    def _objection(self, announcement: Announcement) -> str:
-        """Return why an announcement can't be taken; empty if it can.
+    def _refusal_reason(self, announcement: Announcement) -> str:
+        """Return the reason to refuse an announcement; empty to accept it.
 
-        Other processes place tasks by the service that this one registered with, so
-        it can't change while the process lives.
+        Other processes place tasks by the service with which this one registered, so
+        the service can't change during the lifetime of the process.
         """
         known = self._service
         if known and announcement.service != known:
             return f"this sidecar serves {known}; restart it to serve another service"
         if not announcement.port and not self._port:
-            return "port: missing, the settings leave it open"
+            return "port: required, as the settings don't set it"
         return ""
 
-    def _take(self, announcement: Announcement) -> None:
+    def _apply(self, announcement: Announcement) -> None:
         if announcement.port:
             self._port = announcement.port
             self._set_port(announcement.port)
-        self._tell(
+        self._post_announcement(
             UpstreamAnnounced(
                 announcement.service, announcement.slots, announcement.leaving
             )
@@ -112,16 +112,18 @@
     def _leave(self, environ: Environ) -> HttpAnswer:
         if self._service:
             slots = self._slots
-            self._tell(UpstreamAnnounced(self._service, slots, leaving=True))
+            self._post_announcement(
+                UpstreamAnnounced(self._service, slots, leaving=True)
+            )
         return json_answer(self._status())
 
-    def _tell(self, event: UpstreamAnnounced) -> None:
+    def _post_announcement(self, event: UpstreamAnnounced) -> None:
         self._announced = event
         self._post(event)
 
     @property
     def _service(self) -> str:
-        # The event may still be queued, so the state alone would let two services in.
+        # The state doesn't include an announcement that is still queued.
         if self._announced is not None:
             return self._announced.service
         return self._view().member.service
--- a/tests/shell/test_upstream_client.py
+++ b/tests/shell/test_upstream_client.py
@@ -1,4 +1,4 @@
-"""What is claimed of a task follows from how far its request went."""
+"""The outcome of a task depends on how far its request went."""
 
 from datetime import datetime, timedelta, timezone
 
@@ -14,14 +14,14 @@
 )
 from tests.standins.sockets import Server, closed_port
 
-BOUND_SECONDS = 30
+TIMEOUT_SECONDS = 30
 ATTEMPT = AttemptId(JobKey("orchards", "invoice-7"), 2, 1, 5)
 START = StartUpstream(
     ATTEMPT, "invoicing", True, datetime(2030, 1, 1, tzinfo=timezone.utc), b'{"a": 1}'
 )
 
 
-class Bench:
+class ClientHarness:
     """A client, its upstream and the events it posts."""
 
     def __init__(self, address, **policy):
@@ -30,7 +30,7 @@
         self.client.set_policy(DEFAULT_SERVICE._replace(**policy))
 
     def next_event(self):
-        return self._events.get(timeout=BOUND_SECONDS)
+        return self._events.get(timeout=TIMEOUT_SECONDS)
 
 
 @pytest.fixture
@@ -68,47 +68,43 @@
     ],
     ids=["done", "empty", "failed", "redirect", "dropped", "cut", "too large"],
 )
-def test_an_answer_gives_the_outcome(serve, sent, outcome, result, reason):
+def test_the_answer_determines_the_outcome(serve, sent, outcome, result, reason):
     server = serve(sent)
-    bench = Bench(server.address)
-    bench.client.start(START)
-    assert bench.next_event() == (ATTEMPT, outcome, result, reason)
+    harness = ClientHarness(server.address)
+    harness.client.start(START)
+    assert harness.next_event() == (ATTEMPT, outcome, result, reason)
     assert server.accepted == 1
-    assert bench.client.running == 0
+    assert harness.client.running == 0
 
 
 def test_a_task_is_not_run_only_when_no_connection_was_made():
-    bench = Bench(closed_port())
-    bench.client.start(START)
-    event = bench.next_event()
+    harness = ClientHarness(closed_port())
+    harness.client.start(START)
+    event = harness.next_event()
     assert event.outcome is Outcome.NOT_RUN
     assert event.reason == "upstream_refused_connection"
 
 
-def test_a_hanging_upstream_leaves_the_task_unknown(serve):
-    """The upstream takes the request and never answers.
-
-    The task may have run, so it is UNKNOWN after the service's bound: neither a start
-    elsewhere nor a claim that it did not run would be right.
-    """
-    bench = Bench(serve(None).address, answer_timeout=timedelta(seconds=0.05))
-    bench.client.start(START)
-    event = bench.next_event()
+def test_a_task_is_unknown_if_the_upstream_never_answers(serve):
+    """The task may have run, so it must not be reported as NOT_RUN."""
+    harness = ClientHarness(serve(None).address, answer_timeout=timedelta(seconds=0.05))
+    harness.client.start(START)
+    event = harness.next_event()
     assert (event.outcome, event.reason) == (Outcome.UNKNOWN, "upstream_timeout")
 
 
 def test_connections_are_bounded(serve):
-    bench = Bench(serve(None).address, connections=1)
-    bench.client.start(START)
-    bench.client.start(START)
-    assert bench.next_event().outcome is Outcome.NOT_RUN
+    harness = ClientHarness(serve(None).address, connections=1)
+    harness.client.start(START)
+    harness.client.start(START)
+    assert harness.next_event().outcome is Outcome.NOT_RUN
 
 
-def test_the_request_names_the_task_and_carries_the_body(serve):
+def test_the_request_has_the_task_headers_and_the_body(serve):
     server = serve(answer(200))
-    bench = Bench(server.address)
-    bench.client.start(START)
-    bench.next_event()
+    harness = ClientHarness(server.address)
+    harness.client.start(START)
+    harness.next_event()
     head, body = server.requests[0].split(b"\r\n\r\n")
     assert body == START.body
     assert b"Gypsumspoke-Team: orchards\r\n" in head
@@ -117,10 +113,10 @@
     assert b"Gypsumspoke-Not-Repeatable: true" in head
 
 
-def test_a_key_cannot_add_headers(serve):
+def test_a_key_cannot_inject_headers(serve):
     server = serve(answer(200))
-    bench = Bench(server.address)
+    harness = ClientHarness(server.address)
     key = JobKey("orchards", "a\r\nEvil: 1\r\n\r\né")
-    bench.client.start(START._replace(attempt=ATTEMPT._replace(key=key)))
-    assert bench.next_event().outcome is Outcome.DONE
+    harness.client.start(START._replace(attempt=ATTEMPT._replace(key=key)))
+    assert harness.next_event().outcome is Outcome.DONE
     assert b"Evil: 1" not in server.requests[0]
--- a/tests/shell/test_upstream_http.py
+++ b/tests/shell/test_upstream_http.py
@@ -1,4 +1,4 @@
-"""An upstream announces itself to the sidecar's process and leaves it."""
+"""Announcements of an upstream to its sidecar's process."""
 
 import pytest
 
@@ -21,7 +21,7 @@
 
 @pytest.fixture
 def admin_port(processes, table):
-    """A sidecar whose settings leave service, slots and port to the upstream."""
+    """A sidecar whose service, slots and port are announced by the upstream."""
     upstream = processes.start_upstream()
     left_open = {"service": "", "slots": 0, "upstream_port": 0}
     values = {**settings(table, upstream, "worker-1"), **left_open}
@@ -34,11 +34,9 @@
     return call_json(admin_port, "GET", "/readyz", parse=False)[0] == 200
 
 
-def test_a_sidecar_registers_once_its_upstream_announced_itself(admin_port, table):
-    """Nobody places tasks at a sidecar before it is known what they may be.
-
-    Until the announcement the sidecar is not ready and not registered; its row then
-    bears what was announced.
+def test_a_sidecar_registers_after_its_upstream_is_announced(admin_port, table):
+    """Tasks can't be placed at a sidecar without a known service: before the
+    announcement it is neither ready nor registered.
     """
     assert not is_ready(admin_port)
     assert rows(table, "members/") == []
@@ -51,7 +49,7 @@
     assert '"slots": 8' in row["value"]
 
 
-def test_an_upstream_leaves_and_comes_back_with_other_slots(admin_port):
+def test_an_upstream_leaves_and_returns_with_other_slots(admin_port):
     announced = {"service": "estimates", "slots": 8, "port": 5201}
     call_json(admin_port, "PUT", PATH, announced)
     status, shown = call_json(admin_port, "DELETE", PATH)
@@ -72,7 +70,9 @@
         ({"service": "estimates" * 4000, "slots": 8, "port": 5201}, ""),
     ],
 )
-def test_a_bad_announcement_is_refused_and_changes_nothing(admin_port, body, detail):
+def test_an_invalid_announcement_is_refused_and_changes_nothing(
+    admin_port, body, detail
+):
     status, problem = call_json(admin_port, "PUT", PATH, body)
     assert status in (400, 413)
     assert detail in problem.get("detail", "")
