--- a/gypsumspoke/shell/adaptive_timeout.py
+++ b/gypsumspoke/shell/adaptive_timeout.py
@@ -11,7 +11,7 @@
 MIN_TIMEOUT = timedelta(milliseconds=30)
 _GAIN = 0.125
 _DEVIATION_GAIN = 0.25
-_DEVIATION_FACTOR = 4
+_DEVIATIONS = 4
 
 
 class AdaptiveTimeout:
@@ -31,12 +31,12 @@
         """The timeout for the next answer."""
         if self._smoothed is None:
             return self._maximum
-        seconds = self._smoothed + _DEVIATION_FACTOR * self._deviation
+        seconds = self._smoothed + _DEVIATIONS * self._deviation
         return min(max(timedelta(seconds=seconds), MIN_TIMEOUT), self._maximum)
 
-    def record(self, elapsed: timedelta) -> None:
+    def record(self, took: timedelta) -> None:
         """Record the response time of one answer."""
-        seconds = elapsed.total_seconds()
+        seconds = took.total_seconds()
         if self._smoothed is None:
             self._smoothed = seconds
             self._deviation = seconds / 2
