--- a/tests/shell/test_adaptive_timeout.py
+++ b/tests/shell/test_adaptive_timeout.py
@@ -18,17 +18,17 @@
     assert AdaptiveTimeout(LONGEST).timeout == LONGEST
 
 
-def test_fast_answers_shorten_the_timeout():
+def test_quick_answers_make_it_short():
     assert after(*[2] * 20).timeout == MIN_TIMEOUT
 
 
-def test_slow_answers_lengthen_the_timeout():
+def test_slow_answers_make_it_long():
     """The answers of a slow instance arrive within the timeout."""
     assert after(*[2] * 20, *[40] * 5).timeout > timedelta(milliseconds=60)
     assert after(*[500] * 20).timeout == LONGEST
 
 
-def test_missing_answers_lengthen_the_timeout_up_to_the_maximum():
+def test_missing_answers_make_it_longer_until_one_comes():
     time = after(*[5] * 20)
     for _ in range(10):
         time.record_missing()
