--- a/tests/shell/test_adaptive_timeout.py
+++ b/tests/shell/test_adaptive_timeout.py
@@ -1,4 +1,4 @@
-"""How long an answer is waited for."""
+"""The timeout follows the response times."""
 
 from datetime import timedelta
 
@@ -14,7 +14,7 @@
     return time
 
 
-def test_before_the_first_answer_the_wait_is_longest():
+def test_before_the_first_answer_the_timeout_is_longest():
     assert AdaptiveTimeout(LONGEST).timeout == LONGEST
 
 
@@ -23,7 +23,7 @@
 
 
 def test_slow_answers_make_it_long():
-    """An instance is slow and answers take 40 ms. None of them may be given up."""
+    """The answers of a slow instance arrive within the timeout."""
     assert after(*[2] * 20, *[40] * 5).timeout > timedelta(milliseconds=60)
     assert after(*[500] * 20).timeout == LONGEST
 
