--- a/gypsumspoke/platform/callers.py
+++ b/gypsumspoke/platform/callers.py
@@ -26,10 +26,10 @@
 from gypsumspoke.shell.caller_server import SOCKET_KEY
 from gypsumspoke.shell.disconnects import is_closed, watch_disconnect
 from gypsumspoke.shell.http_answers import (
+    BodyTooLarge,
     Environ,
     HttpAnswer,
     StartResponse,
-    TooLarge,
     json_answer,
     read_body,
     respond,
@@ -159,7 +159,7 @@
         limit = self._state.table.configuration.limits.body_bytes
         try:
             body = read_body(environ, limit)
-        except TooLarge:
+        except BodyTooLarge:
             reason = RefusalReason.BODY_TOO_LARGE
             return self._refuse(413, reason, f"the body exceeds {limit} bytes")
         except (OSError, ValueError):
--- a/gypsumspoke/platform/registration.py
+++ b/gypsumspoke/platform/registration.py
@@ -11,10 +11,10 @@
 from gypsumspoke.runs.values import Registration, Room, WorkerState
 from gypsumspoke.runs.worker_commands import HeartbeatArrived, WorkerLeft
 from gypsumspoke.shell.http_answers import (
+    BodyTooLarge,
     Environ,
     HttpAnswer,
     StartResponse,
-    TooLarge,
     json_answer,
     read_body,
     respond,
@@ -57,7 +57,7 @@
     def _handle_heartbeat(self, environ: Environ, worker: str) -> HttpAnswer:
         try:
             body = read_body(environ, _MAX_BODY_BYTES)
-        except TooLarge:
+        except BodyTooLarge:
             return json_answer({"error": "the body is too large"}, 413)
         except (OSError, ValueError):
             return json_answer({"error": "the body is incomplete"}, 400)
--- a/gypsumspoke/shell/disconnects.py
+++ b/gypsumspoke/shell/disconnects.py
@@ -14,8 +14,8 @@
 def watch_disconnect(sock: socket, on_disconnect: Callable[[], None]) -> Iterator[None]:
     """Call a function once if the caller disconnects inside the block.
 
-    A libev watcher is cheaper than a greenlet per request. Bytes of a pipelined request
-    are not consumed.
+    An event-loop watcher is cheaper than a greenlet per request. Bytes of a pipelined
+    request are not consumed.
 
     Args:
       sock: the caller's connection.
--- a/gypsumspoke/shell/entry.py
+++ b/gypsumspoke/shell/entry.py
@@ -27,7 +27,7 @@
 OPERATOR_PREFIX = "/v1/"
 # The reducer itself ends a stop that exceeds its timeout and answers all waiting
 # callers; the runtime allows this much more before it ends the process.
-_REDUCER_STOP_TIMEOUT = timedelta(seconds=5)
+_DRAIN_MARGIN = timedelta(seconds=5)
 
 
 def run(settings: Settings, clock: Clock) -> int:
@@ -83,7 +83,7 @@
         clock,
         links,
         table,
-        drain_timeout=settings.drain_timeout + _REDUCER_STOP_TIMEOUT,
+        drain_timeout=settings.drain_timeout + _DRAIN_MARGIN,
         is_draining=lambda: entry_role.is_draining(state),
     )
     metrics.install(runtime, own_metrics)
--- a/gypsumspoke/shell/entry_http.py
+++ b/gypsumspoke/shell/entry_http.py
@@ -33,10 +33,10 @@
     parse_job_request,
 )
 from gypsumspoke.shell.http_answers import (
+    BodyTooLarge,
     Environ,
     HttpAnswer,
     StartResponse,
-    TooLarge,
     read_body,
     respond,
 )
@@ -103,7 +103,7 @@
     def _submit(self, environ: Environ) -> HttpAnswer:
         try:
             body = read_body(environ, MAX_BODY_BYTES)
-        except TooLarge:
+        except BodyTooLarge:
             return self._refuse(
                 ErrorKind.BODY_TOO_LARGE, f"at most {MAX_BODY_BYTES} bytes are taken"
             )
--- a/gypsumspoke/shell/http_answers.py
+++ b/gypsumspoke/shell/http_answers.py
@@ -29,8 +29,8 @@
     content_type: str = JSON_TYPE
 
 
-class TooLarge(Exception):
-    """A request body exceeds its size limit."""
+class BodyTooLarge(Exception):
+    """A request body exceeds its size max_bytes."""
 
 
 def respond(answer: HttpAnswer, start: StartResponse) -> Iterable[bytes]:
@@ -50,22 +50,22 @@
     return HttpAnswer(status, json.dumps(value).encode(), tuple(headers))
 
 
-def read_body(environ: Environ, limit: int) -> bytes:
-    """Read a request body of at most ``limit`` bytes.
+def read_body(environ: Environ, max_bytes: int) -> bytes:
+    """Read a request body of at most ``max_bytes`` bytes.
 
-    A declared length is checked before reading; otherwise at most ``limit`` + 1 bytes
+    A declared length is checked before reading; otherwise at most ``max_bytes`` + 1 bytes
     are read, so an oversized body never occupies memory.
 
     Raises:
-      TooLarge: the body exceeds ``limit``.
+      BodyTooLarge: the body exceeds ``max_bytes``.
       OSError: the body ended early.
     """
     declared = environ.get("CONTENT_LENGTH")
-    if declared and int(declared) > limit:
-        raise TooLarge
-    body = environ["wsgi.input"].read(limit + 1)
-    if len(body) > limit:
-        raise TooLarge
+    if declared and int(declared) > max_bytes:
+        raise BodyTooLarge
+    body = environ["wsgi.input"].read(max_bytes + 1)
+    if len(body) > max_bytes:
+        raise BodyTooLarge
     return body
 
 
--- a/gypsumspoke/shell/operator_http.py
+++ b/gypsumspoke/shell/operator_http.py
@@ -29,10 +29,10 @@
 from gypsumspoke.core.values import Member, Row
 from gypsumspoke.parser.manifest import parse_manifest
 from gypsumspoke.shell.http_answers import (
+    BodyTooLarge,
     Environ,
     HttpAnswer,
     StartResponse,
-    TooLarge,
     json_answer,
     read_body,
     respond,
@@ -371,7 +371,7 @@
     def _body(self, environ: Environ) -> str:
         try:
             return read_body(environ, MAX_BODY_BYTES).decode()
-        except TooLarge:
+        except BodyTooLarge:
             raise _Refused(
                 ErrorKind.BODY_TOO_LARGE, f"the body exceeds {MAX_BODY_BYTES} bytes"
             ) from None
--- a/gypsumspoke/shell/run_entry.py
+++ b/gypsumspoke/shell/run_entry.py
@@ -35,7 +35,7 @@
     """The store, as an entry uses it."""
 
     def store_caller_timeouts(self, effect: StoreCallerTimeouts) -> None:
-        """Keep what was learned of callers; returns at once."""
+        """Store the learned timeouts of callers without blocking."""
 
 
 class EntryAdapter(NamedTuple):
--- a/gypsumspoke/shell/runtime.py
+++ b/gypsumspoke/shell/runtime.py
@@ -201,9 +201,9 @@
             self._tick_queued = False
             for effect in self._lag.report(now, len(self._events)):
                 self._dispatch(effect)
-        reduced = Timed(arrival, event) if self._in_turns else event
+        input_event = Timed(arrival, event) if self._in_turns else event
         try:
-            effects = self._reduce(self._state, reduced, now)
+            effects = self._reduce(self._state, input_event, now)
         except Exception:
             # The state may be inconsistent. Exiting is safe: peers treat it like any
             # other crash of a process.
--- a/gypsumspoke/shell/upstream_http.py
+++ b/gypsumspoke/shell/upstream_http.py
@@ -17,10 +17,10 @@
 from gypsumspoke.core.sidecar import SidecarState
 from gypsumspoke.parser.announcement import Announcement, parse_announcement
 from gypsumspoke.shell.http_answers import (
+    BodyTooLarge,
     Environ,
     HttpAnswer,
     StartResponse,
-    TooLarge,
     json_answer,
     read_body,
     respond,
@@ -71,7 +71,7 @@
     def _announce(self, environ: Environ) -> HttpAnswer:
         try:
             text = read_body(environ, MAX_BODY_BYTES).decode()
-        except TooLarge:
+        except BodyTooLarge:
             detail = f"the body exceeds {MAX_BODY_BYTES} bytes"
             return self._refuse(detail, ErrorKind.BODY_TOO_LARGE)
         except (OSError, UnicodeDecodeError) as error:
