--- a/gypsumspoke/shell/http_answers.py
+++ b/gypsumspoke/shell/http_answers.py
@@ -53,8 +53,8 @@
 def read_body(environ: Environ, max_bytes: int) -> bytes:
     """Read a request body of at most ``max_bytes`` bytes.
 
-    A declared length is checked before reading; otherwise at most ``max_bytes`` + 1 bytes
-    are read, so an oversized body never occupies memory.
+    A declared length is checked before reading; otherwise at most ``max_bytes`` + 1
+    bytes are read, so an oversized body never occupies memory.
 
     Raises:
       BodyTooLarge: the body exceeds ``max_bytes``.
