--- a/gypsumspoke/runs/supervisor.py
+++ b/gypsumspoke/runs/supervisor.py
@@ -1,9 +1,9 @@
-"""The sidecar's reducer: its worker's only client, and supervisor of its runs.
+"""The supervisor: a sidecar's reducer, and its worker's only client.
 
-Entries place runs here; it starts them when there is room, keeps the worker's
-lease alive, and tells the entry how each run ended. It counts a run's room as taken
-from before its start is sent until the worker lists its end, so that an unanswered
-start and an unfinished stop still count.
+Entries place runs here; the supervisor starts them when there is room, extends the
+worker's lease, and reports each run's end to its entry. A run's room is reserved from
+before its start is sent until the worker lists its end, so that an unanswered start and
+an unfinished stop still count.
 """
 
 import logging
@@ -56,7 +56,7 @@
       now: the current time of a steady clock.
 
     Returns:
-      What is to be done.
+      The effects to carry out.
     """
     effects = _handle(event, state, now)
     return [*effects, *supervisor_report.send_change_reports(state, now)]
@@ -81,7 +81,7 @@
 
 @_handle.register
 def _(event: PeerLost, state: SupervisorState, now: datetime) -> list[Effect]:
-    # Its runs go on: the entry may be back in a moment. If not, its silence ends them.
+    # Its runs go on, since it may reconnect; otherwise its silence ends them.
     state.peers.discard(event.incarnation)
     state.taken.pop(event.incarnation, None)
     state.last_reports.pop(event.incarnation, None)
@@ -173,10 +173,10 @@
 def _cancel_runs_of_silent_entries(
     state: SupervisorState, now: datetime
 ) -> list[Effect]:
-    """End the runs of entries that were not heard for ``entry_silence``.
+    """Cancel the runs of entries that were not heard for ``entry_silence``.
 
-    An entry that died can't stop them, and its caller will send the job again. Without
-    this both runs of a task would be at work at once.
+    An entry that died can't stop them, and its caller will resubmit the job; the task
+    would then run twice at once.
     """
     effects: list[Effect] = []
     limit = now - state.budget.entry_silence
--- a/gypsumspoke/runs/supervisor_commands.py
+++ b/gypsumspoke/runs/supervisor_commands.py
@@ -29,34 +29,34 @@
     StopCommand,
 )
 
-# A stop without an answer is sent again this often; one answer takes a few ms.
+# Interval at which an unanswered stop is sent again.
 STOP_RETRY_INTERVAL = timedelta(milliseconds=100)
-# A worker that fails is tried with one run this often.
+# Interval at which a failing worker is tried with one run.
 PROBE_INTERVAL = timedelta(milliseconds=700)
 
 
 def start_run(state: SupervisorState, local: LocalRun, now: datetime) -> list[Effect]:
-    """Take the room and tell the worker to start a waiting run."""
+    """Reserve the room and tell the worker to start a waiting run."""
     local.phase = Phase.STARTING
     local.started_at = now
     local.progressed_at = now
     reserve_room(state, local)
     if is_failing(state):
         state.next_probe = now + PROBE_INTERVAL
-    order = StartCommand(
+    command = StartCommand(
         local.run,
         local.spec,
         state.worker.id,
         extend_lease(state, now),
         state.token,
     )
-    return [order]
+    return [command]
 
 
 def cancel_run(
     state: SupervisorState, local: LocalRun, reason: EndReason, now: datetime
 ) -> list[Effect]:
-    """Drop a waiting run, or have a started one stopped."""
+    """Drop a waiting run, or stop a started one."""
     if local.phase is Phase.WAITING:
         return finish(state, local, RunEnd.NOT_RUN, reason, now)
     if local.phase is Phase.STOPPING:
@@ -90,7 +90,7 @@
 def handle_answer(
     state: SupervisorState, event: CommandAnswered, now: datetime
 ) -> list[Effect]:
-    """Take the worker's answer to a start or a stop."""
+    """Handle the worker's answer to a start or a stop."""
     if not is_from_current_incarnation(state, event.sent):
         event = event._replace(clock=None)
     record_worker_clock(state, event.clock, now)
@@ -107,7 +107,7 @@
 def _handle_stop_answer(
     state: SupervisorState, local: LocalRun, event: CommandAnswered, now: datetime
 ) -> list[Effect]:
-    """Note when a stop was accepted; repeat an unanswered one."""
+    """Record when a stop was accepted; repeat an unanswered one."""
     if event.result is CommandResult.ACCEPTED:
         local.stop_clock = event.clock
         return []
@@ -117,7 +117,7 @@
 
 
 def extra_renewal(state: SupervisorState) -> list[Effect]:
-    """Ask at once, beside the hold under way, what runs and what ended."""
+    """Request the lists at once, beside the pending renewal."""
     return [
         RenewCommand(
             state.worker_id, None, state.last_seen, timedelta(), state.token, True
@@ -139,16 +139,15 @@
     if reason is EndReason.WORKER_UNHEALTHY:
         update_failure_share(state, 1.0)
     if reason is EndReason.WORKER_GONE:
-        # Nothing listens there. What comes next would be refused in the same way, until
-        # a hold is answered again.
+        # Nothing listens there, so nothing starts until a renewal is answered again.
         state.worker_answered_at = None
     return finish(state, local, RunEnd.NOT_RUN, reason, now)
 
 
 def _unanswered(state: SupervisorState, local: LocalRun, now: datetime) -> list[Effect]:
-    """Ask whether a run is at work whose start got no answer.
+    """Ask whether a run whose start was not answered is running.
 
-    A worker that was slow for a moment shows the run, and nothing is lost.
+    If the worker was only slow, it lists the run, which then goes on.
     """
     if local.phase is not Phase.STARTING:
         return []
@@ -160,10 +159,10 @@
 def stop_uncertain_run(
     state: SupervisorState, local: LocalRun, now: datetime
 ) -> list[Effect]:
-    """Stop a run whose start got no answer and which does not show.
+    """Stop a run whose start was not answered and which is not listed.
 
-    The stop makes the worker refuse this run from then on, so that what follows is
-    certain: either its end is listed, or it never starts.
+    From the stop on the worker refuses this run, so that its outcome becomes certain:
+    either its end is listed, or it never starts.
     """
     update_failure_share(state, 1.0)
     return cancel_run(state, local, EndReason.START_UNANSWERED, now)
--- a/gypsumspoke/runs/supervisor_lease.py
+++ b/gypsumspoke/runs/supervisor_lease.py
@@ -37,7 +37,7 @@
 
 
 def lease_allows_start(state: SupervisorState, now: datetime) -> bool:
-    """Return whether the lease suits another run of an entry that was just heard."""
+    """Return whether the lease permits a new run of an entry that was just heard."""
     if allowed_lease(state, now) < state.budget.min_lease:
         return False
     return _lease_ends_within_budget(state, now - state.budget.tick)
@@ -72,7 +72,7 @@
 
 
 def update_lease_withheld(state: SupervisorState, now: datetime) -> list[Effect]:
-    """Look whether the lease is short, and tell when an unanswered stop is why."""
+    """Update whether the lease is short; log when an unanswered stop holds it back."""
     state.is_lease_short = not lease_allows_start(state, now)
     oldest = _longest_unheard_run(state)
     is_withheld = (
--- a/gypsumspoke/runs/supervisor_placement.py
+++ b/gypsumspoke/runs/supervisor_placement.py
@@ -24,7 +24,7 @@
 def handle_placement(
     message: PlaceRun, sender: str, state: SupervisorState, now: datetime
 ) -> list[Effect]:
-    """Start a run, let it wait for an older one, or send it back."""
+    """Start a run, queue it behind an older one of its task, or refuse it."""
     if sender in state.taken:
         state.taken[sender] += 1
     record_heard(state, sender, message.heard, now)
@@ -108,7 +108,7 @@
 
 
 def _refusal_reason(state: SupervisorState, message: PlaceRun) -> EndReason | None:
-    """Return why this run can't wait here, or None."""
+    """Return why this run must be refused, or None."""
     if state.draining_since is not None:
         return EndReason.SIDECAR_STOPPING
     if state.worker is None:
@@ -117,8 +117,8 @@
         return EndReason.WORKER_DRAINING
     if not fits(message.room, state.worker.capacity):
         return EndReason.NO_ROOM_EVER
-    # Another entry, which had the job before, used this number already; the worker
-    # would refuse it, and two runs could not be told apart here.
+    # Another entry that coordinated the job before has used this number already; the
+    # worker would refuse it, and the two runs would be indistinguishable here.
     if message.run.number <= state.highest.get(message.run.task, 0):
         return EndReason.NUMBER_TOO_LOW
     if supervisor_report.is_failing(state) and state.runs:
--- a/gypsumspoke/runs/supervisor_queue.py
+++ b/gypsumspoke/runs/supervisor_queue.py
@@ -1,7 +1,7 @@
-"""Runs that wait at a sidecar, and which of them starts next.
+"""Queue of the runs that wait at a sidecar.
 
-They wait for an older run of their task to be gone, or for the answer that lets the
-worker take work; by priority, then by arrival.
+They wait for an older run of their task to end, or until the worker may take work, and
+start by priority, then by arrival.
 """
 
 from datetime import datetime
@@ -14,7 +14,7 @@
 
 
 def start_waiting_runs(state: SupervisorState, now: datetime) -> list[Effect]:
-    """Start what fits, by priority and arrival; nothing overtakes what waits."""
+    """Start waiting runs that fit, by priority and arrival, without overtaking."""
     effects = _cancel_overdue_runs(state, now)
     if not supervisor_report.can_start(state, now):
         return effects
--- a/gypsumspoke/runs/supervisor_renewals.py
+++ b/gypsumspoke/runs/supervisor_renewals.py
@@ -27,20 +27,20 @@
 # Longest time until the shell has an answer to a command or gives it up; a renewal's
 # own wait comes on top.
 COMMAND_TIMEOUT = timedelta(milliseconds=120)
-# A run without progress for this long, or this share of its estimate, stands still. A
-# sound worker shows progress with each renewal; a slow one shows a percent within it.
+# A run is stalled without progress for this long and this share of its estimate; even
+# slow workers advance by a percent within that share.
 MIN_STALL_DURATION = timedelta(milliseconds=220)
 STALL_SHARE = 0.15
-# So many lists must have shown the same progress.
+# Lists that must show the same progress before a run counts as stalled.
 MIN_STALLED_LISTS = 2
 
 
 def next_renewal(state: SupervisorState, now: datetime) -> list[Effect]:
     """Send the next renewal unless one is pending.
 
-    While the worker leaves these unanswered, they no longer extend the lease: its runs
-    must end by a known time, so that they can be placed elsewhere. Until the worker has
-    seen this process's token nothing can start, so those don't wait for an end.
+    While the worker leaves renewals unanswered they don't extend the lease, so that its
+    runs end by a known time and can be placed elsewhere. Until the worker has seen this
+    process's token nothing can start, so those renewals don't wait for an end.
     """
     interval = state.budget.renewal_interval
     if state.renewal_sent_at is not None:
@@ -68,7 +68,7 @@
     if state.worker_answered_at is None:
         return False
     if state.orphans:
-        # Nothing but the end of the lease stops them if the stops are lost.
+        # If their stops are lost, only the end of the lease stops them.
         return False
     return now - state.worker_answered_at < state.budget.worker_silence
 
@@ -78,10 +78,10 @@
 ) -> list[Effect]:
     """Handle a renewal that failed.
 
-    One that was left unanswered is followed at once, since ends wait to be seen. So is
-    one that was fenced if there is a higher token now: the worker has known an earlier
-    process of this sidecar, and its first refusal tells the clock that tokens are from.
-    After other failures, which come at once, the next tick asks again.
+    An unanswered renewal is repeated at once, since ends may be waiting. So is a fenced
+    one once the token is higher: the worker knows a token of an earlier process of this
+    sidecar, and its refusal carries the clock that tokens are derived from. Other
+    failures are immediate, so the next tick retries them.
     """
     record_worker_clock(state, event.clock, now)
     token = state.token
@@ -108,7 +108,7 @@
 def handle_renewal_answer(
     state: SupervisorState, event: RenewalAnswered, now: datetime
 ) -> list[Effect]:
-    """Take the worker's list of what runs and what ended."""
+    """Handle the worker's lists of running and ended runs."""
     if not event.is_extra:
         _clear_pending_renewal(state, event.number)
     if event.incarnation is not None and event.incarnation != state.worker_incarnation:
@@ -165,7 +165,7 @@
         if local is None:
             continue
         if local.phase is Phase.STARTING:
-            # The answer to its start is late or lost, but here it is.
+            # The answer to its start is late or lost, but the run is listed.
             local.phase = Phase.RUNNING
         local.is_uncertain = False
         # The run was running then, so an older list that arrives late on another
@@ -197,10 +197,10 @@
 def _end_unlisted_runs(
     state: SupervisorState, event: RenewalAnswered, now: datetime
 ) -> list[Effect]:
-    """End runs that the worker neither runs nor lists as ended.
+    """End runs that the worker lists neither as running nor as ended.
 
-    The list must be younger than the worker's answer to the start, or the stop: answers
-    on different connections overtake each other. Both name the worker's clock.
+    The list must be newer, by the worker's clock, than the answer to the start or stop,
+    since answers on different connections can arrive out of order.
     """
     listed = {running.run for running in event.running}
     effects: list[Effect] = []
@@ -234,10 +234,10 @@
 def _is_after_stop(
     state: SupervisorState, event: RenewalAnswered, local: LocalRun
 ) -> bool:
-    """Return whether a stopped run that no list shows is gone for certain.
+    """Return whether a stopped run that is not listed has certainly ended.
 
-    While it is being stopped a run is at work and in neither list. Taken for ended too
-    early, its task could be placed again beside it.
+    While a run is being stopped it still runs but is in neither list; treating it as
+    ended too early would allow two concurrent runs of its task.
     """
     if local.stop_clock is None:
         return False
@@ -247,8 +247,8 @@
 def _stop_stalled(state: SupervisorState, now: datetime) -> list[Effect]:
     """Stop runs that make no progress, so that they are placed elsewhere.
 
-    Called with each list, and at no other time: while lists fail to come, nothing is
-    known of progress, and sound runs would seem to stand still.
+    Called only with a new list: without lists progress is unknown, and healthy runs
+    would seem stalled.
     """
     effects: list[Effect] = []
     for local in list(state.runs.values()):
@@ -265,7 +265,7 @@
 
 
 def expire_runs(state: SupervisorState, now: datetime) -> list[Effect]:
-    """Give up the runs of a worker whose lease has certainly ended them."""
+    """End all started runs once the worker's lease has certainly expired."""
     if now <= state.lease.ends_by + state.budget.bounds.stop:
         return []
     effects: list[Effect] = []
--- a/tests/runs/test_incarnations.py
+++ b/tests/runs/test_incarnations.py
@@ -60,8 +60,8 @@
     sidecar = sidecar_whose_worker_restarted()
     sidecar.handle(ms(251), late_answer(CommandKind.START))
     effects = sidecar.handle(ms(600), Tick())
-    (hold,) = [effect for effect in effects if isinstance(effect, RenewCommand)]
-    assert hold.lease_end <= NEW_CLOCK + ms(600 - 250) + DEFAULT_BUDGET.lease
+    (renewal,) = [effect for effect in effects if isinstance(effect, RenewCommand)]
+    assert renewal.lease_end <= NEW_CLOCK + ms(600 - 250) + DEFAULT_BUDGET.lease
 
 
 @pytest.mark.parametrize("resend, starts_at_once", [(1300, True), (400, False)])
--- a/tests/runs/test_renewals.py
+++ b/tests/runs/test_renewals.py
@@ -11,9 +11,8 @@
 
 
 def test_the_answer_to_an_overdue_renewal_does_not_cause_a_second_pending_one():
-    """A sidecar is paused while one is pending, and asks again before it reads the
-    answer. With each such pause one more hold was under way from then on, and lists
-    overtook each other.
+    """A paused sidecar sends the next renewal before it reads the answer to the last
+    one; that answer must not trigger another.
     """
     sidecar = LoneSidecar()
     (first,) = renewals(sidecar.handle_list(ms(100)))
