--- a/gypsumspoke/runs/caller_timeouts.py
+++ b/gypsumspoke/runs/caller_timeouts.py
@@ -1,25 +1,26 @@
 """Detection of resubmitted jobs by the remaining timeout of their callers.
 
-When an entry is lost, its callers send their jobs again through other entries. These
-jobs may be late already, and shouldn't delay new jobs that can still be in time.
-
-A request says how long its caller still waits, and that shrinks with each try. So an
-entry learns for each route how long callers wait at least as a rule; one that waits
-less has been waiting for a pause between two tries already. The learned values are kept
-in the platform's store, so that they are available after a restart of all processes.
+When an entry is lost, its callers resubmit their jobs through other entries. These jobs
+may be late already and must not delay new jobs that can still meet their deadline.
+
+Each request carries the remaining timeout of its caller, which shrinks with every
+attempt. An entry therefore estimates the usual minimum for each route; a caller with a
+shorter timeout has tried elsewhere and has waited for at least one retry delay. The
+estimates are kept in the platform's store, so that they survive a restart of all
+processes.
 """
 
 from collections import deque
 from datetime import datetime, timedelta
 from typing import NamedTuple
 
-# Latest requests of a route that are evaluated, and requests between two evaluations.
+# Latest requests that an estimate uses, and requests between two estimates.
 MAX_SAMPLES = 200
 SAMPLES_PER_UPDATE = 40
-# The usual minimum is this quantile of the samples: a higher one takes first requests
-# for resubmissions, a lower one depends on single callers.
+# The usual minimum is this quantile of the samples: a higher one treats first requests
+# as resubmissions, a lower one depends on single callers.
 USUAL_QUANTILE = 0.02
-# Stored values are used for this long after a start, while many of the requests are
+# Stored values are used for this long after a start, when many requests are
 # resubmissions.
 STORED_VALID_FOR = timedelta(seconds=30)
 # Values are stored at most this often, and only after such a relative change.
@@ -43,12 +44,12 @@
     """The usual timeouts of callers at one entry, by route.
 
     Args:
-      pause: the shortest pause between two tries of a caller.
+      retry_delay: the shortest delay between two attempts of a caller.
       now: when the process starts.
     """
 
-    def __init__(self, pause: timedelta, now: datetime) -> None:
-        self._pause = pause
+    def __init__(self, retry_delay: timedelta, now: datetime) -> None:
+        self._retry_delay = retry_delay
         self._started = now
         self._stored: dict[str, timedelta] = {}
         self._recent: dict[str, deque[timedelta]] = {}
@@ -83,8 +84,12 @@
         usual = self._usual.get(route)
         if usual is None or now - self._started < STORED_VALID_FOR:
             usual = max(usual or timedelta(), self._stored.get(route, timedelta()))
-        short_of = usual - timeout
-        return max(short_of, self._pause) if short_of > timedelta() else timedelta()
+        shortfall = usual - timeout
+        return (
+            max(shortfall, self._retry_delay)
+            if shortfall > timedelta()
+            else timedelta()
+        )
 
     def to_store(self, now: datetime) -> StoreCallerTimeouts | None:
         """Return the values to store now, or None if they have hardly changed."""
@@ -97,9 +102,9 @@
         return StoreCallerTimeouts(tuple(sorted(self._usual.items())))
 
     def _has_changed(self, route: str) -> bool:
-        kept = self._written.get(route, self._stored.get(route))
+        stored = self._written.get(route, self._stored.get(route))
         return (
-            kept is None
-            or abs(self._usual[route] - kept)
-            > max(kept, self._pause) * MIN_RELATIVE_CHANGE
+            stored is None
+            or abs(self._usual[route] - stored)
+            > max(stored, self._retry_delay) * MIN_RELATIVE_CHANGE
         )
--- a/tests/runs/test_caller_timeouts.py
+++ b/tests/runs/test_caller_timeouts.py
@@ -13,80 +13,88 @@
 from tests.runs.test_job_lifecycle import settled
 from tests.runs.world import ROUTE, START, World, job, ms
 
-PAUSE = ms(1300)
+RETRY_DELAY = ms(1300)
 USUAL = ms(2000)
-CHECKS = ROUTE.name
+ROUTE_NAME = ROUTE.name
 
 
-def learned() -> CallerTimeouts:
+def timeouts_after_usual_requests() -> CallerTimeouts:
     """Return the state of an entry whose callers wait two to three seconds."""
-    patience = CallerTimeouts(PAUSE, START)
+    timeouts = CallerTimeouts(RETRY_DELAY, START)
     for number in range(3 * SAMPLES_PER_UPDATE):
-        patience.record(CHECKS, USUAL + ms(10 * (number % 100)))
-    return patience
+        timeouts.record(ROUTE_NAME, USUAL + ms(10 * (number % 100)))
+    return timeouts
 
 
-def test_a_caller_that_waits_less_than_others_has_waited_elsewhere():
-    patience = learned()
-    assert patience.waited_elsewhere(CHECKS, USUAL + ms(100), START) == ms(0)
-    assert patience.waited_elsewhere(CHECKS, ms(1500), START) == PAUSE
-    assert patience.waited_elsewhere(CHECKS, ms(500), START) >= ms(1500)
-    assert patience.waited_elsewhere("another route", ms(500), START) == ms(0)
+def test_a_caller_with_a_shorter_timeout_than_usual_has_waited_elsewhere():
+    timeouts = timeouts_after_usual_requests()
+    assert timeouts.waited_elsewhere(ROUTE_NAME, USUAL + ms(100), START) == ms(0)
+    assert timeouts.waited_elsewhere(ROUTE_NAME, ms(1500), START) == RETRY_DELAY
+    assert timeouts.waited_elsewhere(ROUTE_NAME, ms(500), START) >= ms(1500)
+    assert timeouts.waited_elsewhere("another route", ms(500), START) == ms(0)
 
 
-def test_nothing_is_concluded_from_a_few_callers():
-    patience = CallerTimeouts(PAUSE, START)
+def test_few_requests_give_no_usual_timeout():
+    timeouts = CallerTimeouts(RETRY_DELAY, START)
     for _ in range(SAMPLES_PER_UPDATE - 1):
-        patience.record(CHECKS, USUAL)
-    assert patience.waited_elsewhere(CHECKS, ms(500), START) == ms(0)
+        timeouts.record(ROUTE_NAME, USUAL)
+    assert timeouts.waited_elsewhere(ROUTE_NAME, ms(500), START) == ms(0)
 
 
-def test_callers_that_all_wait_less_from_now_on_are_new_ones_again():
-    """After a change of the callers' timeout, all of their jobs would count as
-    resubmissions for good.
+def test_the_usual_timeout_follows_a_change_of_all_callers():
+    """Otherwise, all jobs would count as resubmissions forever after the callers reduced
+    their timeout.
     """
-    patience = learned()
+    timeouts = timeouts_after_usual_requests()
     later = START + STORED_VALID_FOR
     for _ in range(3 * SAMPLES_PER_UPDATE):
-        patience.record(CHECKS, ms(900))
-    assert patience.waited_elsewhere(CHECKS, ms(900), later) == ms(0)
+        timeouts.record(ROUTE_NAME, ms(900))
+    assert timeouts.waited_elsewhere(ROUTE_NAME, ms(900), later) == ms(0)
 
 
-def test_stored_values_are_used_while_a_process_is_new():
+def test_stored_values_are_used_after_a_start():
     """After a loss of all entries, most first requests are resubmissions, and values
     learned from them are too low.
     """
-    patience = CallerTimeouts(PAUSE, START)
-    kept = CallerTimeoutsRead(({CHECKS: USUAL}, {CHECKS: ms(1900)}, {CHECKS: ms(9000)}))
-    patience.update_stored(kept)
+    timeouts = CallerTimeouts(RETRY_DELAY, START)
+    read = CallerTimeoutsRead(
+        ({ROUTE_NAME: USUAL}, {ROUTE_NAME: ms(1900)}, {ROUTE_NAME: ms(9000)})
+    )
+    timeouts.update_stored(read)
     for _ in range(2 * SAMPLES_PER_UPDATE):
-        patience.record(CHECKS, ms(700))
-    assert patience.waited_elsewhere(CHECKS, ms(700), START + ms(1000)) == PAUSE
-    assert patience.waited_elsewhere(CHECKS, ms(700), START + STORED_VALID_FOR) == ms(0)
-
-
-def test_values_are_stored_after_a_clear_change_and_not_too_often():
-    patience = learned()
-    assert patience.to_store(START) is None
-    first = patience.to_store(START + STORE_INTERVAL)
-    assert first.usual == ((CHECKS, USUAL + ms(10)),)
-    assert patience.to_store(START + 3 * STORE_INTERVAL) is None
+        timeouts.record(ROUTE_NAME, ms(700))
+    assert (
+        timeouts.waited_elsewhere(ROUTE_NAME, ms(700), START + ms(1000)) == RETRY_DELAY
+    )
+    assert timeouts.waited_elsewhere(
+        ROUTE_NAME, ms(700), START + STORED_VALID_FOR
+    ) == ms(0)
+
+
+def test_values_are_stored_after_a_relevant_change_and_not_too_often():
+    timeouts = timeouts_after_usual_requests()
+    assert timeouts.to_store(START) is None
+    first = timeouts.to_store(START + STORE_INTERVAL)
+    assert first.usual == ((ROUTE_NAME, USUAL + ms(10)),)
+    assert timeouts.to_store(START + 3 * STORE_INTERVAL) is None
     for _ in range(5 * SAMPLES_PER_UPDATE):
-        patience.record(CHECKS, ms(900))
-    assert patience.to_store(START + 3 * STORE_INTERVAL).usual == ((CHECKS, ms(900)),)
+        timeouts.record(ROUTE_NAME, ms(900))
+    assert timeouts.to_store(START + 3 * STORE_INTERVAL).usual == (
+        (ROUTE_NAME, ms(900)),
+    )
 
 
-def submit(world: World, name: str, within: timedelta) -> None:
+def submit(world: World, name: str, timeout: timedelta) -> None:
     process = world.processes["entry0"]
-    event = JobArrived(name, job(name, count=2), ROUTE, world.now + within)
+    event = JobArrived(name, job(name, count=2), ROUTE, world.now + timeout)
     world.post(process, event)
 
 
-def test_a_new_job_goes_before_those_that_come_back():
-    """Behind resubmitted jobs, which are late already, a new job would be late too."""
+def test_a_new_job_is_placed_before_resubmitted_jobs():
+    """Placed after resubmitted jobs, which are late already, it would be late too."""
     world = settled(sidecars=1)
     state = world.processes["entry0"].state
-    state.caller_timeouts.update_stored(CallerTimeoutsRead(({CHECKS: ms(9000)},)))
+    state.caller_timeouts.update_stored(CallerTimeoutsRead(({ROUTE_NAME: ms(9000)},)))
     submit(world, "before", ms(9500))
     world.run(ms(100))
     for number in range(8):
