--- a/tests/shell/test_adaptive_timeout.py
+++ b/tests/shell/test_adaptive_timeout.py
@@ -1,39 +1,39 @@
-"""The timeout follows the response times."""
+"""The timeout adapts to the response times."""
 
 from datetime import timedelta
 
 from gypsumspoke.shell.adaptive_timeout import MIN_TIMEOUT, AdaptiveTimeout
 
-LONGEST = timedelta(milliseconds=120)
+MAX_TIMEOUT = timedelta(milliseconds=120)
 
 
-def after(*milliseconds: float) -> AdaptiveTimeout:
-    time = AdaptiveTimeout(LONGEST)
+def timeout_after(*milliseconds: float) -> AdaptiveTimeout:
+    adaptive = AdaptiveTimeout(MAX_TIMEOUT)
     for each in milliseconds:
-        time.record(timedelta(milliseconds=each))
-    return time
+        adaptive.record(timedelta(milliseconds=each))
+    return adaptive
 
 
-def test_before_the_first_answer_the_timeout_is_longest():
-    assert AdaptiveTimeout(LONGEST).timeout == LONGEST
+def test_the_timeout_is_the_maximum_before_the_first_answer():
+    assert AdaptiveTimeout(MAX_TIMEOUT).timeout == MAX_TIMEOUT
 
 
-def test_quick_answers_make_it_short():
-    assert after(*[2] * 20).timeout == MIN_TIMEOUT
+def test_fast_answers_reduce_the_timeout_to_the_minimum():
+    assert timeout_after(*[2] * 20).timeout == MIN_TIMEOUT
 
 
-def test_slow_answers_make_it_long():
+def test_slow_answers_increase_the_timeout():
     """The answers of a slow instance arrive within the timeout."""
-    assert after(*[2] * 20, *[40] * 5).timeout > timedelta(milliseconds=60)
-    assert after(*[500] * 20).timeout == LONGEST
+    assert timeout_after(*[2] * 20, *[40] * 5).timeout > timedelta(milliseconds=60)
+    assert timeout_after(*[500] * 20).timeout == MAX_TIMEOUT
 
 
-def test_missing_answers_make_it_longer_until_one_comes():
-    time = after(*[5] * 20)
+def test_missing_answers_increase_the_timeout_up_to_the_maximum():
+    fast = timeout_after(*[5] * 20)
     for _ in range(10):
-        time.record_missing()
-    assert time.timeout <= LONGEST
-    slow = after(*[20, 40] * 10)
+        fast.record_missing()
+    assert fast.timeout <= MAX_TIMEOUT
+    slow = timeout_after(*[20, 40] * 10)
     before = slow.timeout
     slow.record_missing()
     assert slow.timeout > before
