--- a/tests/runs/test_caller_timeouts.py
+++ b/tests/runs/test_caller_timeouts.py
@@ -42,7 +42,7 @@
 
 
 def test_the_usual_timeout_follows_a_change_of_all_callers():
-    """Otherwise, all jobs would count as resubmissions forever after the callers reduced
+    """Otherwise, all jobs would count as resubmissions forever after the callers reduce
     their timeout.
     """
     timeouts = timeouts_after_usual_requests()
