--- a/gypsumspoke/wire/codec.py
+++ b/gypsumspoke/wire/codec.py
@@ -1,13 +1,11 @@
-"""Messages to bytes and back, by thrift's compact protocol.
+"""Encodes and decodes messages with thrift's compact protocol.
 
-The tuples of ``core`` and of ``runs/messages.py`` stay free of thrift, so each is
-copied to and from the generated struct with the same fields. The copying functions are
-built once, at import, from the annotations of the tuples: a field that is added there
-and missing in the IDL fails at once and in every test, instead of being dropped in
-silence.
+The message tuples of ``core`` and ``runs/messages.py`` don't depend on thrift. Each is
+converted to and from the generated struct with the same fields. The converters are
+built from the tuples' annotations at import, so a field that the IDL lacks is an error
+at import instead of being dropped silently.
 
-Thrift's C extension does the encoding; without it a process would start and be ten
-times slower, so its absence is an error.
+Thrift's C extension is required: the pure Python implementation is too slow.
 """
 
 import types
@@ -35,25 +33,25 @@
 _MICROSECOND = timedelta(microseconds=1)
 _RESERVED_WORDS = {"service": "service_name"}
 
-# The only tuple type in a message that has no name of its own.
+# The only unnamed tuple type in a message.
 _TEAM_RATES = tuple[str, float, float]
 
 _Convert = Callable[[Any], Any]
 
 
 class InvalidField(ValueError):
-    """A field is absent or holds a value outside its type."""
+    """A field is absent or its value is not valid for its type."""
 
 
 class _Converter(NamedTuple):
-    """Both directions of one annotation; None stands for "as it is"."""
+    """Converts values of one annotation; None means no conversion."""
 
     to_wire: _Convert | None
     from_wire: _Convert | None
 
 
 class _Field(NamedTuple):
-    """One field of a tuple and its attribute in the struct."""
+    """One field of a message tuple and the matching struct attribute."""
 
     wire_name: str
     optional: bool
@@ -87,7 +85,7 @@
     return values
 
 
-_LEAVES: dict[Any, _Converter] = {
+_CONVERTERS: dict[Any, _Converter] = {
     str: _Converter(None, None),
     bytes: _Converter(None, None),
     int: _Converter(None, None),
@@ -104,7 +102,7 @@
 
     def from_wire(value: str) -> Enum:
         if value not in by_value:
-            raise InvalidField(f"{value!r} is no {enum.__name__}")
+            raise InvalidField(f"{value!r} is not a valid {enum.__name__}")
         return by_value[value]
 
     return _Converter(lambda member: member.value, from_wire)
@@ -113,11 +111,15 @@
 def _list_converter(item: _Converter) -> _Converter:
     to_wire, from_wire = item
     return _Converter(
-        list if to_wire is None else lambda items: [to_wire(each) for each in items],
+        (
+            list
+            if to_wire is None
+            else lambda items: [to_wire(element) for element in items]
+        ),
         (
             tuple
             if from_wire is None
-            else lambda items: tuple([from_wire(each) for each in items])
+            else lambda items: tuple([from_wire(element) for element in items])
         ),
     )
 
@@ -132,10 +134,10 @@
 
 
 def _struct_converter(kind: type) -> _Converter:
-    """Build both directions for a NamedTuple.
+    """Return the converter of a NamedTuple.
 
     Raises:
-      TypeError: the IDL's struct has other fields, or in another order.
+      TypeError: the fields of the IDL's struct differ in name or order.
     """
     struct = getattr(ttypes, kind.__name__)
     hints = typing.get_type_hints(kind)
@@ -172,31 +174,31 @@
 
 
 def _converter(annotation: Any) -> _Converter:
-    """Return the converter of an annotation of a message, building it when new."""
-    if annotation in _LEAVES:
-        return _LEAVES[annotation]
+    """Return the converter of a message annotation, cached after the first call."""
+    if annotation in _CONVERTERS:
+        return _CONVERTERS[annotation]
     if typing.get_origin(annotation) is tuple:
         return _list_converter(_converter(typing.get_args(annotation)[0]))
     if issubclass(annotation, Enum):
         converter = _enum_converter(annotation)
     else:
         converter = _struct_converter(annotation)
-    _LEAVES[annotation] = converter
+    _CONVERTERS[annotation] = converter
     return converter
 
 
 class _Kind(NamedTuple):
-    """One alternative of the union."""
+    """One member of the IDL's message union."""
 
     union_field: str
     converter: _Converter
 
 
 def _kinds() -> dict[type, _Kind]:
-    """Return each message type with its alternative of the union.
+    """Map each message type to its member of the union.
 
     Raises:
-      TypeError: the IDL's union lacks a message or has one more.
+      TypeError: the IDL's union lacks a message.
     """
     wanted = {kind.__name__: kind for kind in typing.get_args(WireMessage)}
     kinds = {}
@@ -224,29 +226,28 @@
       The payload of one frame, without its length.
 
     Raises:
-      KeyError: this type is not a message.
+      KeyError: the type is not a message.
     """
     kind = _KINDS[type(message)]
     union = ttypes.Message()
     setattr(union, kind.union_field, kind.converter.to_wire(message))
-    # What union.write() calls in the end, without a protocol object for each message.
+    # Same as union.write(), without creating a protocol object for each message.
     return fastbinary.encode_compact(union, _UNION)
 
 
 def decode(payload: bytes) -> Result[WireMessage, str]:
-    """Return the message of a frame's payload.
+    """Decode the payload of a frame.
 
     Args:
-      payload: what one frame holds.
+      payload: content of one frame.
 
     Returns:
-      The message, or a sentence that says why it is none. Never raises, whatever the
-      bytes are.
+      The message, or why the payload is invalid. Never raises, for any input.
     """
     union = ttypes.Message()
     size = len(payload)
-    # A garbage length would make the decoder reserve memory for it (gigabytes for a
-    # frame of ten bytes). No text and no list has more bytes or items than its frame.
+    # Without these limits a corrupt length would make the decoder allocate gigabytes.
+    # No string or list can have more bytes or items than the payload.
     protocol = TCompactProtocolAccelerated(
         TMemoryBuffer(payload),
         string_length_limit=size,
@@ -255,15 +256,15 @@
     )
     try:
         union.read(protocol)
-        return Success(_alternative(union))
+        return Success(_union_member(union))
     except (InvalidField, TProtocolException, UnicodeDecodeError) as error:
         return Failure(f"invalid message: {error}")
     except (EOFError, TException, OverflowError, ValueError, TypeError) as error:
         return Failure(f"truncated or malformed message: {error!r}")
 
 
-def _alternative(union: ttypes.Message) -> WireMessage:
-    """Return the one message that the union holds."""
+def _union_member(union: ttypes.Message) -> WireMessage:
+    """Return the message held by the union, which must be exactly one."""
     found = None
     for name, converter in _BY_UNION_FIELD:
         value = getattr(union, name)
--- a/tests/wire/strategies.py
+++ b/tests/wire/strategies.py
@@ -1,4 +1,4 @@
-"""Hypothesis strategies for every message, from the annotations of the tuples."""
+"""Hypothesis strategies for messages, derived from the tuples' annotations."""
 
 import types
 import typing
@@ -7,24 +7,24 @@
 
 from hypothesis import strategies as st
 
-_LONG = st.integers(min_value=-(2**63), max_value=2**63 - 1)
-_LONGEST = timedelta(days=100_000_000)  # Microseconds fit 64 bits.
-_LEAVES = {
+_INT64 = st.integers(min_value=-(2**63), max_value=2**63 - 1)
+_MAX_DURATION = timedelta(days=100_000_000)  # Microseconds fit 64 bits.
+_STRATEGIES = {
     str: st.text(max_size=20),
     bytes: st.binary(max_size=50),
-    int: _LONG,
+    int: _INT64,
     float: st.floats(allow_nan=False),
     bool: st.booleans(),
     types.NoneType: st.none(),
     datetime: st.datetimes(timezones=st.just(timezone.utc)),
-    timedelta: st.timedeltas(-_LONGEST, _LONGEST),
+    timedelta: st.timedeltas(-_MAX_DURATION, _MAX_DURATION),
 }
 
 
 def values_of(annotation):
     """Return a strategy for an annotation used in a message."""
-    if annotation in _LEAVES:
-        return _LEAVES[annotation]
+    if annotation in _STRATEGIES:
+        return _STRATEGIES[annotation]
     origin = typing.get_origin(annotation)
     arguments = typing.get_args(annotation)
     if origin in (types.UnionType, typing.Union):
--- a/tests/wire/test_codec.py
+++ b/tests/wire/test_codec.py
@@ -1,4 +1,4 @@
-"""Messages to bytes and back."""
+"""Tests of message encoding and decoding."""
 
 import typing
 
@@ -18,7 +18,7 @@
 from tests.wire.strategies import values_of
 
 KINDS = typing.get_args(WireMessage)
-FEW = settings(
+FEW_EXAMPLES = settings(
     derandomize=True,
     max_examples=30,
     deadline=None,
@@ -35,7 +35,7 @@
 
 @pytest.mark.parametrize("kind", KINDS, ids=lambda kind: kind.__name__)
 def test_a_message_comes_back_equal(kind):
-    @FEW
+    @FEW_EXAMPLES
     @given(values_of(kind))
     def roundtrip(message):
         decoded = decode(encode(message)).unwrap()
@@ -54,21 +54,21 @@
     assert encode(QUERY) == buffer.getvalue()
 
 
-@FEW
+@FEW_EXAMPLES
 @given(st.integers(min_value=0))
 def test_a_truncated_message_is_an_error_value(cut):
     payload = encode(QUERY)
     assert not is_successful(decode(payload[: cut % len(payload)]))
 
 
-@settings(FEW, max_examples=500)
+@settings(FEW_EXAMPLES, max_examples=500)
 @given(st.binary(max_size=200))
 def test_garbage_is_an_error_value_or_a_message(garbage):
     result = decode(garbage)
     assert not is_successful(result) or type(result.unwrap()) in KINDS
 
 
-@settings(FEW, max_examples=500)
+@settings(FEW_EXAMPLES, max_examples=500)
 @given(st.integers(min_value=0), st.integers(min_value=0, max_value=255))
 def test_a_flipped_byte_is_an_error_value_or_a_message(position, byte):
     payload = bytearray(encode(QUERY))
@@ -78,10 +78,7 @@
 
 
 def test_deep_nesting_is_an_error_value():
-    """A frame of nested unknown structs makes the decoder recurse once per byte.
-
-    Without the library's bound the C stack overflows and the process is killed.
-    """
+    """Nested unknown structs must not overflow the decoder's C stack."""
     nested_struct = b"\xfc" + b"\x1c" * 1_000_000
     assert not is_successful(decode(nested_struct))
 
