--- a/gypsumspoke/wire/hello.py
+++ b/gypsumspoke/wire/hello.py
@@ -1,9 +1,8 @@
 """The first message on each connection, in both directions.
 
-Both ends must speak the same protocol and divide keys into the same number of
-partitions. Two processes that disagree about the partition count would send a key to
-two homes, and its tasks could start twice; so such a peer is refused before any other
-message is read.
+Both ends must use the same protocol version and the same partition count. Processes
+with different partition counts would send a key to two homes, and its tasks could start
+twice, so such a peer is refused before any other message is read.
 """
 
 from typing import NamedTuple
@@ -14,12 +13,12 @@
 
 
 class Hello(NamedTuple):
-    """Who speaks on a connection.
+    """Identifies the sender on a connection.
 
     Attributes:
-      protocol_version: version of the messages that the sender speaks.
-      incarnation: the sender.
-      worker: the sender's worker.
+      protocol_version: version of the sender's message protocol.
+      incarnation: the sender's incarnation.
+      worker: name of the sender's worker.
       partition_count: number of partitions that the sender divides keys into.
     """
 
@@ -30,7 +29,7 @@
 
 
 def check_hello(own: Hello, other: Hello, expected: str | None) -> Result[Hello, str]:
-    """Decide whether to talk to a peer.
+    """Check whether a peer is compatible and the expected one.
 
     Args:
       own: this process's hello.
@@ -50,9 +49,9 @@
         )
     if not other.incarnation:
         return Failure("no incarnation")
-    # An address is used again by a worker's next incarnation. Without this check a
-    # message for the dead one would reach the living one, which knows none of its
-    # starts, and be answered "never seen".
+    # A worker's next incarnation reuses its address. Without this check a message for
+    # the previous incarnation would reach the new one, which has none of its records
+    # and would answer "never seen".
     if expected is not None and other.incarnation != expected:
         return Failure(f"incarnation {other.incarnation}, not {expected}")
     return Success(other)
--- a/tests/wire/test_frame_bound.py
+++ b/tests/wire/test_frame_bound.py
@@ -1,7 +1,7 @@
-"""The largest messages that the core makes fit a frame.
+"""Tests that the largest messages of the core fit a frame.
 
-One that does not is dropped by its sender: a caller gets no answer, a takeover or a
-leaving process waits for nothing.
+An oversized message is dropped by its sender: a caller would get no answer, and a
+takeover or a stopping process would wait until its timeout.
 """
 
 from datetime import datetime, timezone
@@ -32,7 +32,7 @@
 
 NOW = datetime(2026, 1, 1, tzinfo=timezone.utc)
 DIGEST = bytes(32)
-COVERS = tuple(f"worker-{number:03}-" + "f" * 16 for number in range(200))
+COVERED_WORKERS = tuple(f"worker-{number:03}-" + "f" * 16 for number in range(200))
 # Characters of four bytes each in UTF-8.
 KEY = JobKey("\U0001f33e" * MAX_NAME_LENGTH, "\U0001f33e" * MAX_KEY_LENGTH)
 
@@ -74,7 +74,7 @@
     records = [started(number, size) for number, size in enumerate(sizes)]
     closed = [ClosedRecord(KEY, NOW, 0, DIGEST, ErrorKind.TASK_FAILED)] * 501
     messages = remember_messages(
-        3, 1, COVERS[0], records, closed, COVERS, NOTHING_FORGOTTEN
+        3, 1, COVERED_WORKERS[0], records, closed, COVERED_WORKERS, NOTHING_FORGOTTEN
     )
     assert all(fits(message) for message in messages)
     assert [record for part in messages for record in part.started] == records
@@ -104,11 +104,10 @@
     ids=["large after nearly full", "failed then large", "many failed"],
 )
 def test_a_handed_ledger(records):
-    """The next home takes the partition though its answers are as large as they may be.
+    """Splitting a ledger must count the outcomes of failed jobs, too.
 
-    A part is cut ahead of a record that does not fit it, and failed jobs count by their
-    outcomes. Otherwise a part with many failed jobs takes in the largest answer too,
-    the handoff is dropped, and the leaving home waits for its acknowledgement.
+    Otherwise a part with many failed jobs and a large answer exceeds a frame, and the
+    leaving home waits for an acknowledgement that never comes.
     """
     parts = _finished_parts(records)
     assert [record for part in parts for record in part] == list(records)
--- a/tests/wire/test_frames.py
+++ b/tests/wire/test_frames.py
@@ -1,4 +1,4 @@
-"""Frames on a byte stream."""
+"""Tests of framing on a byte stream."""
 
 from hypothesis import given, settings, strategies as st
 from returns.pipeline import is_successful
