--- a/gypsumspoke/wire/redial.py
+++ b/gypsumspoke/wire/redial.py
@@ -1,30 +1,27 @@
-"""How long a dial may take, and when an address is dialled again.
+"""Connect timeouts and retry delays for one address.
 
-Load that it answers: all processes are lost at once and come back within some tenths of
-a second of each other. What a sidecar has not found, an entry can't use, so each tenth
-of a second between the return of one and the next dial of the other leaves a worker
-idle while callers wait. The first packet to an instance without power is lost, and
-waiting long for its answer means not to ask again when the instance is back.
+The timeouts and delays are short so that, after all processes restart at once, sidecars
+find the entries quickly. Until then their workers are idle while callers wait. A packet
+to an instance that is down is lost, and a long connect timeout would delay the next try
+until well after the instance is back.
 """
 
 from datetime import timedelta
 
-# Peers answer within some milliseconds. An address that did not is given more time at
-# its next dial, should the way there just be slow.
-FIRST_PATIENCE = timedelta(milliseconds=100)
-LAST_PATIENCE = timedelta(milliseconds=200)
-# Pauses grow for an address that does not answer: an instance is back within a second
-# or two, a lost one never.
-FIRST_PAUSE = timedelta(milliseconds=50)
-LAST_PAUSE = timedelta(milliseconds=200)
-# A refusal says that the instance lives and only its process does not, so it is back
-# soon as a rule; so many refusals in a row are followed by a pause that stays short.
-REFUSED_PAUSE = timedelta(milliseconds=100)
-QUICK_REFUSALS = 20
+# The timeout doubles after an unanswered dial, in case the network is slow.
+MIN_CONNECT_TIMEOUT = timedelta(milliseconds=100)
+MAX_CONNECT_TIMEOUT = timedelta(milliseconds=200)
+# The delay doubles while an address does not answer.
+MIN_RETRY_DELAY = timedelta(milliseconds=50)
+MAX_RETRY_DELAY = timedelta(milliseconds=200)
+# A refused connection means that the instance is up and its process is usually about to
+# start, so the delay grows only after this many refusals in a row.
+REFUSED_DELAY = timedelta(milliseconds=100)
+MAX_QUICK_REFUSALS = 20
 
 
-class Redial:
-    """The dials to one address."""
+class RedialBackoff:
+    """Backoff state of the dials to one address."""
 
     def __init__(self) -> None:
         self._unanswered = 0
@@ -36,34 +33,34 @@
         return not self._unanswered and not self._refusals
 
     @property
-    def patience(self) -> timedelta:
-        """How long the next dial may take."""
-        return _grown(FIRST_PATIENCE, LAST_PATIENCE, self._unanswered)
+    def connect_timeout(self) -> timedelta:
+        """Timeout of the next dial."""
+        return _doubled(MIN_CONNECT_TIMEOUT, MAX_CONNECT_TIMEOUT, self._unanswered)
 
-    def note_connected(self) -> timedelta:
-        """Return the pause after a connection, which may end at once."""
+    def record_connected(self) -> timedelta:
+        """Reset the backoff; return the minimum delay until the next dial."""
         self._unanswered = 0
         self._refusals = 0
-        return REFUSED_PAUSE
+        return REFUSED_DELAY
 
-    def note_refused(self) -> timedelta:
-        """Return the pause after a dial to which nobody listened."""
+    def record_refused(self) -> timedelta:
+        """Count a refused dial; return the delay until the next one."""
         self._refusals += 1
-        late = max(self._refusals - QUICK_REFUSALS, 0)
-        return _grown(REFUSED_PAUSE, 2 * LAST_PAUSE, late)
+        further = max(self._refusals - MAX_QUICK_REFUSALS, 0)
+        return _doubled(REFUSED_DELAY, 2 * MAX_RETRY_DELAY, further)
 
-    def note_unanswered(self) -> timedelta:
-        """Return the pause after a dial without an answer."""
-        pause = _grown(FIRST_PAUSE, LAST_PAUSE, self._unanswered)
+    def record_unanswered(self) -> timedelta:
+        """Count an unanswered dial; return the delay until the next one."""
+        delay = _doubled(MIN_RETRY_DELAY, MAX_RETRY_DELAY, self._unanswered)
         self._unanswered += 1
-        return pause
+        return delay
 
 
-def _grown(first: timedelta, last: timedelta, times: int) -> timedelta:
-    """Return ``first`` doubled so many times, up to ``last``."""
-    grown = first
+def _doubled(minimum: timedelta, maximum: timedelta, times: int) -> timedelta:
+    """Return ``minimum`` doubled ``times`` times, up to ``maximum``."""
+    doubled = minimum
     for _ in range(times):
-        if grown >= last:
-            return last
-        grown *= 2
-    return min(grown, last)
+        if doubled >= maximum:
+            return maximum
+        doubled *= 2
+    return min(doubled, maximum)
--- a/tests/wire/test_dialler.py
+++ b/tests/wire/test_dialler.py
@@ -1,4 +1,4 @@
-"""Connections by address, to whichever process answers there."""
+"""Tests of dialling by address."""
 
 import errno
 from contextlib import closing
@@ -14,11 +14,11 @@
 from gypsumspoke.wire.hello import PROTOCOL_VERSION, Hello
 from gypsumspoke.wire.links import PeerLinks
 
-BOUND = 5
+TIMEOUT_SECONDS = 5
 
 
 class Peer:
-    """Links with the events that they reported."""
+    """Links that record the events they report."""
 
     def __init__(self, name: str) -> None:
         self.events = []
@@ -32,7 +32,7 @@
 
 
 def wait_until(holds) -> None:
-    with gevent.Timeout(BOUND):
+    with gevent.Timeout(TIMEOUT_SECONDS):
         while not holds():
             gevent.sleep(0.01)
 
@@ -48,9 +48,7 @@
 
 
 def test_a_process_that_starts_again_at_its_address_is_found(dialling):
-    """An entry ends and its next incarnation listens at the same address. Nobody tells
-    the sidecar the new name; it dials the address again and learns it from the hello.
-    """
+    """The sidecar redials the address and gets the new incarnation from the hello."""
     sidecar, dialler = dialling
     first = Peer("entry-1")
     port = first.links.listen("127.0.0.1", 0)
@@ -81,20 +79,17 @@
 
 
 class CountingClock(SteadyClock):
-    """A clock that counts how often it is asked."""
+    """A clock that counts how often it is read."""
 
-    asked = 0
+    reads = 0
 
     def now(self):
-        self.asked += 1
+        self.reads += 1
         return super().now()
 
 
 def test_a_connection_that_lasts_wakes_nobody():
-    """The dialler looked at each address forty times a second, also where all was well.
-
-    That was a good part of what a process cost at rest.
-    """
+    """Polling addresses that are connected would waste CPU in an idle process."""
     clock = CountingClock()
     sidecar, entry = Peer("sidecar"), Peer("entry-1")
     port = entry.links.listen("127.0.0.1", 0)
@@ -105,19 +100,19 @@
         dialler.set_addresses([("127.0.0.1", port)])
         dialler.start()
         wait_until(lambda: sidecar.has(PeerConnected("entry-1")))
-        clock.asked = 0
+        clock.reads = 0
         gevent.sleep(0.3)
-        assert clock.asked == 0
+        assert clock.reads == 0
 
 
 def test_an_address_is_dialled_again_after_a_lack_of_descriptors(dialling, monkeypatch):
-    """The dial of that moment ended by an error that nobody took, and was the last."""
+    """An error while creating the socket must not end the dialling."""
     sidecar, dialler = dialling
-    lacks = [OSError(errno.EMFILE, "too many open files")]
+    errors = [OSError(errno.EMFILE, "too many open files")]
 
     def make(*args):
-        if lacks:
-            raise lacks.pop()
+        if errors:
+            raise errors.pop()
         return socket(*args)
 
     monkeypatch.setattr("gypsumspoke.wire.dialler.socket", make)
@@ -126,5 +121,5 @@
     entry.start()
     dialler.set_addresses([("127.0.0.1", port)])
     wait_until(lambda: sidecar.has(PeerConnected("entry-1")))
-    assert not lacks
+    assert not errors
     entry.links.close()
--- a/tests/wire/test_redial.py
+++ b/tests/wire/test_redial.py
@@ -1,58 +1,57 @@
-"""Dials to one address: how long each may take, and the pauses between them."""
+"""Tests of connect timeouts and retry delays for one address."""
 
 from datetime import timedelta
 
 from gypsumspoke.wire.redial import (
-    LAST_PATIENCE,
-    LAST_PAUSE,
-    QUICK_REFUSALS,
-    REFUSED_PAUSE,
-    Redial,
+    MAX_CONNECT_TIMEOUT,
+    MAX_QUICK_REFUSALS,
+    MAX_RETRY_DELAY,
+    REFUSED_DELAY,
+    RedialBackoff,
 )
 
 
 def test_an_instance_whose_process_is_starting_is_dialled_without_growing_pauses():
-    """A sidecar is up before an entry after a loss of all processes. Its dials are
-    refused until the entry listens; with growing pauses the entry is found up to four
-    tenths of a second late, and its callers wait for a worker meanwhile.
-    """
-    redial = Redial()
-    pauses = {redial.note_refused() for _ in range(QUICK_REFUSALS)}
-    assert pauses == {REFUSED_PAUSE}
+    """Growing delays would make a sidecar find a restarted entry too late."""
+    backoff = RedialBackoff()
+    delays = {backoff.record_refused() for _ in range(MAX_QUICK_REFUSALS)}
+    assert delays == {REFUSED_DELAY}
 
 
 def test_an_instance_that_gets_its_power_back_is_found_soon():
-    """All instances lose power and come back within 0.3 s of each other. A sidecar
-    that is first dials entries that are still dark: the packet is lost. With one long
-    wait for its answer the entries were found 0.5 s later, with callers waiting.
-    """
-    redial = Redial()
-    dark = timedelta(milliseconds=300)
-    spent = timedelta()
-    while spent < dark:
-        spent += redial.patience + redial.note_unanswered()
-    assert spent - dark <= LAST_PATIENCE + LAST_PAUSE / 2
+    """A long connect timeout would make a sidecar find a restored instance too late."""
+    backoff = RedialBackoff()
+    downtime = timedelta(milliseconds=300)
+    elapsed = timedelta()
+    while elapsed < downtime:
+        elapsed += backoff.connect_timeout + backoff.record_unanswered()
+    assert elapsed - downtime <= MAX_CONNECT_TIMEOUT + MAX_RETRY_DELAY / 2
 
 
 def test_an_address_that_does_not_answer_is_given_more_time_and_asked_less_often():
-    redial = Redial()
-    pauses = [redial.note_unanswered() for _ in range(4)]
-    assert pauses == [LAST_PAUSE / 4, LAST_PAUSE / 2, LAST_PAUSE, LAST_PAUSE]
-    assert redial.patience == LAST_PATIENCE
+    backoff = RedialBackoff()
+    delays = [backoff.record_unanswered() for _ in range(4)]
+    assert delays == [
+        MAX_RETRY_DELAY / 4,
+        MAX_RETRY_DELAY / 2,
+        MAX_RETRY_DELAY,
+        MAX_RETRY_DELAY,
+    ]
+    assert backoff.connect_timeout == MAX_CONNECT_TIMEOUT
 
 
 def test_one_that_refuses_for_good_is_dialled_ever_later():
-    redial = Redial()
-    for _ in range(QUICK_REFUSALS + 3):
-        pause = redial.note_refused()
-    assert pause == 2 * LAST_PAUSE
+    backoff = RedialBackoff()
+    for _ in range(MAX_QUICK_REFUSALS + 3):
+        delay = backoff.record_refused()
+    assert delay == 2 * MAX_RETRY_DELAY
 
 
 def test_a_connection_begins_anew():
-    redial = Redial()
-    first = redial.patience
-    redial.note_unanswered()
-    assert not redial.is_first
-    redial.note_connected()
-    assert redial.is_first
-    assert redial.patience == first
+    backoff = RedialBackoff()
+    first = backoff.connect_timeout
+    backoff.record_unanswered()
+    assert not backoff.is_first
+    backoff.record_connected()
+    assert backoff.is_first
+    assert backoff.connect_timeout == first
