--- a/gypsumspoke/wire/connection.py
+++ b/gypsumspoke/wire/connection.py
@@ -1,8 +1,8 @@
-"""One TCP connection to a peer, read and written as the loop finds its socket ready.
+"""One TCP connection to a peer, driven by readiness callbacks of the event loop.
 
-A connection knows nothing of messages or members; ``wire/links.py`` decides what it
-carries and when it is closed. It needs no greenlets: most messages are small and come
-one at a time, and waking a greenlet for each would cost more than the message.
+A connection carries frames and doesn't interpret them; ``wire/links.py`` decides what
+is sent and when it is closed. It runs in callbacks instead of greenlets, because
+switching to a greenlet for each small message would cost more than handling it.
 """
 
 import socket as standard_socket
@@ -28,11 +28,12 @@
 
 
 class ConnectionHandlers(NamedTuple):
-    """What a connection calls.
+    """Callbacks of a connection.
 
     Attributes:
-      on_payload: a frame's payload arrived; returns why the connection must end, or "".
-      on_closed: the connection is closed; called once, with the reason.
+      on_payload: handles a frame's payload; returns why the connection must be closed,
+        or "".
+      on_closed: called once, with the reason, when the connection is closed.
     """
 
     on_payload: Callable[["Connection", bytes], str]
@@ -43,10 +44,10 @@
     """A connected socket with a bounded outgoing queue.
 
     Args:
-      sock: connected socket; the connection closes it.
+      sock: connected socket; owned and closed by the connection.
       dialled: incarnation that was dialled; None for an accepted connection.
-      clock: source of the times that tell a silent connection.
-      handlers: what to call.
+      clock: source of the time of the last received and sent data.
+      handlers: callbacks.
     """
 
     def __init__(
@@ -67,7 +68,7 @@
         self._writable = self._loop.io(sock.fileno(), _WRITABLE)
         self._frames = FrameReader()
         self._started = False
-        self._flush_waits = False
+        self._flush_scheduled = False
         self._drained = Event()
         self._drained.set()
         self._ended = Event()
@@ -85,7 +86,7 @@
 
     @property
     def peer(self) -> Hello | None:
-        """The peer's hello, once it was accepted."""
+        """The peer's hello; None until one is accepted."""
         return self._peer
 
     @property
@@ -109,61 +110,62 @@
         return self._last_sent
 
     def start(self) -> None:
-        """Begin to read and write."""
+        """Start reading and writing."""
         self._sock.setblocking(False)
         self._started = True
-        # What is queued goes before the first read: a peer that differs is refused as
-        # soon as its hello is read, and the own hello must be out by then, so that both
-        # ends log why.
-        self._flush_soon()
+        # Writes the own hello before reading the peer's: an incompatible peer is
+        # refused as soon as its hello is read, and both ends should log the reason.
+        self._schedule_flush()
         self._readable.start(self._read)
 
     def accept_peer(self, hello: Hello) -> None:
-        """Note that the peer's hello is valid."""
+        """Record the peer's valid hello."""
         self._peer = hello
 
     def wait_closed(self) -> None:
         """Wait until the connection has ended."""
         self._ended.wait()
 
-    def restart_silence(self, now: datetime) -> None:
-        """Count the peer's silence from now on."""
+    def reset_last_heard(self, now: datetime) -> None:
+        """Measure the peer's silence from now on."""
         self._last_heard = now
 
     def send(self, framed: bytes) -> bool:
         """Queue a frame.
 
         Args:
-          framed: a frame with its length.
+          framed: a frame with its length prefix.
 
         Returns:
-          False when the connection has ended or its queue is full; the frame is lost.
+          False when the connection is closed or its queue is full; the frame is then
+          dropped.
         """
-        # A peer that stops reading would make the queue grow until the process dies.
-        # Dropping is enough: every message may be lost and is asked for again.
+        # Without a bound the queue of a peer that stops reading would exhaust memory.
+        # Dropping is safe: the protocol tolerates the loss of any message.
         if self._closed or self._queued_bytes + len(framed) > MAX_QUEUED_BYTES:
             return False
         self._queue.append(framed)
         self._queued_bytes += len(framed)
         self._last_sent = self._clock.now()
         self._drained.clear()
-        self._flush_soon()
+        self._schedule_flush()
         return True
 
     def send_heartbeat(self) -> None:
-        """Queue a link heartbeat, unless frames already wait to be written."""
+        """Queue a link heartbeat unless other frames are queued."""
         if not self._queue:
             self.send(HEARTBEAT_FRAME)
 
     def finish(self, timeout: float) -> None:
-        """End after all that is queued has reached the peer.
+        """Close gracefully, after the peer has received all queued frames.
 
-        Closing a socket with unread bytes resets it, and the peer may then lose what it
-        has not read yet: the last answers of a process that stops gracefully. So only
-        the sending half is shut, and the peer closes once it has read everything.
+        Closing a socket that has unread bytes resets the connection, and the peer may
+        lose data that it has not read yet. So only the sending side is shut down, and
+        the peer closes the connection once it has read everything.
 
         Args:
-          timeout: bound on each of the two waits, in seconds.
+          timeout: longest wait, in seconds, for the queue to drain and again for the
+            peer to close.
         """
         self._drained.wait(timeout)
         if not self._closed:
@@ -171,11 +173,11 @@
                 self._sock.shutdown(standard_socket.SHUT_WR)
                 self._ended.wait(timeout)
             except OSError:
-                pass  # The peer was faster.
+                pass  # The peer has closed already.
         self.close("finished")
 
     def close(self, reason: str) -> None:
-        """End the connection; a second call does nothing."""
+        """Close the connection; further calls do nothing."""
         if self._closed:
             return
         self._closed = True
@@ -194,10 +196,10 @@
         self._handlers.on_closed(self, reason)
 
     def _read(self) -> None:
-        """Read once; the loop calls again while bytes are at hand.
+        """Read once; the loop calls again while data is available.
 
-        Read until nothing is left, one fast sender would hold the loop and the process
-        would miss its heartbeats to everyone else.
+        Reading until the socket is empty would let one fast sender block the loop and
+        delay the heartbeats to all other peers.
         """
         try:
             chunk = self._sock.recv(_READ_BYTES)
@@ -207,14 +209,14 @@
             self.close(f"read failed: {error}")
             return
         if not chunk:
-            cut = " inside a frame" if self._frames.incomplete else ""
-            self.close("closed by the peer" + cut)
+            suffix = " inside a frame" if self._frames.incomplete else ""
+            self.close("closed by the peer" + suffix)
             return
         self._last_heard = self._clock.now()
-        self._take(chunk)
+        self._deliver(chunk)
 
-    def _take(self, chunk: bytes) -> None:
-        """Hand on the payloads that are complete."""
+    def _deliver(self, chunk: bytes) -> None:
+        """Pass complete payloads to the handler."""
         payloads = self._frames.feed(chunk)
         if not is_successful(payloads):
             self.close(payloads.failure())
@@ -222,23 +224,23 @@
         for payload in payloads.unwrap():
             if self._closed:
                 return
-            problem = self._handlers.on_payload(self, payload)
-            if problem:
-                self.close(problem)
+            error = self._handlers.on_payload(self, payload)
+            if error:
+                self.close(error)
 
-    def _flush_soon(self) -> None:
-        """Have what is queued written when the current greenlet gives way.
+    def _schedule_flush(self) -> None:
+        """Schedule a write for when the current greenlet yields.
 
-        So frames that are sent one after another share one call.
+        Frames that are queued until then share one system call.
         """
-        if self._flush_waits or self._writable.active or not self._started:
+        if self._flush_scheduled or self._writable.active or not self._started:
             return
-        self._flush_waits = True
+        self._flush_scheduled = True
         self._loop.run_callback(self._flush)
 
     def _flush(self) -> None:
-        """Write what the socket takes; the loop calls again for the rest."""
-        self._flush_waits = False
+        """Write as much as the socket accepts; the loop calls again for the rest."""
+        self._flush_scheduled = False
         if self._closed:
             return
         try:
@@ -246,9 +248,9 @@
                 batch = self._next_batch()
                 sent = self._sock.send(batch)
                 if sent < len(batch):
-                    self._put_back(batch[sent:])
+                    self._requeue(batch[sent:])
         except BlockingIOError:
-            self._put_back(batch)
+            self._requeue(batch)
             self._writable.start(self._flush)
             return
         except OSError as error:
@@ -257,12 +259,12 @@
         self._writable.stop()
         self._drained.set()
 
-    def _put_back(self, rest: bytes) -> None:
+    def _requeue(self, rest: bytes) -> None:
         self._queue.appendleft(rest)
         self._queued_bytes += len(rest)
 
     def _next_batch(self) -> bytes:
-        """Take frames up to about ``_WRITE_BYTES``, so that many share one call."""
+        """Remove and join queued frames, up to about ``_WRITE_BYTES``."""
         batch = []
         size = 0
         while self._queue and size < _WRITE_BYTES:
--- a/tests/wire/test_links.py
+++ b/tests/wire/test_links.py
@@ -1,4 +1,4 @@
-"""Connections between peers, over real sockets on one loop."""
+"""Tests of peer connections over real sockets on one event loop."""
 
 from contextlib import ExitStack
 from datetime import datetime, timedelta, timezone
@@ -15,18 +15,18 @@
 from gypsumspoke.wire.codec import encode
 from gypsumspoke.wire.frames import HEARTBEAT_FRAME, MAX_FRAME_BYTES, frame
 from gypsumspoke.wire.hello import PROTOCOL_VERSION, Hello
-from gypsumspoke.wire.links import SILENCE_LIMIT, PeerLinks
+from gypsumspoke.wire.links import SILENCE_TIMEOUT, PeerLinks
 from tests.standins.relay import Relay
 
 HOST = "127.0.0.1"
-BOUND_SECONDS = 30
+TIMEOUT_SECONDS = 30
 PARTITIONS = 64
 START = datetime(2030, 1, 1, tzinfo=timezone.utc)
 QUERY = QueryJob("r1", 3, JobKey("orchards", "invoice-7"))
 
 
 class Process:
-    """One end: its links, the port and what they reported."""
+    """One process: its links, their port and their events."""
 
     def __init__(
         self, name, clock=None, version=PROTOCOL_VERSION, partitions=PARTITIONS
@@ -40,14 +40,14 @@
         self.links.start(self.events.put)
 
     def next_event(self, kind):
-        """Return the next event of this kind; others are passed over."""
+        """Return the next event of this kind, skipping others."""
         while True:
-            event = self.events.get(timeout=BOUND_SECONDS)
+            event = self.events.get(timeout=TIMEOUT_SECONDS)
             if isinstance(event, kind):
                 return event
 
-    def knows(self, *processes, port=None):
-        """Take the addresses of others, or one other behind a relay's port."""
+    def set_peers(self, *processes, port=None):
+        """Set the addresses of peers, or of one peer behind a relay's port."""
         self.links.set_addresses(
             [member(other.name, port or other.port) for other in processes]
         )
@@ -77,24 +77,24 @@
 
 
 def wait_until(condition):
-    """Let the loop turn until the condition holds; fail after a generous bound."""
-    with gevent.Timeout(BOUND_SECONDS):
+    """Run the loop until the condition holds; fail after a timeout."""
+    with gevent.Timeout(TIMEOUT_SECONDS):
         while not condition():
             gevent.sleep(0.01)
 
 
-def stranger(stack, to, *frames):
-    """Connect as something that is no peer and send these bytes."""
+def connect_raw(stack, to, *frames):
+    """Connect without a peer's protocol and send these bytes."""
     sock = create_connection((HOST, to.port))
     stack.callback(sock.close)
-    sock.settimeout(BOUND_SECONDS)
+    sock.settimeout(TIMEOUT_SECONDS)
     for framed in frames:
         sock.sendall(framed)
     return sock
 
 
 def read_to_end(sock):
-    """Read until the other side closes; a test fails by timeout if it does not."""
+    """Read until the other side closes; a timeout fails the test."""
     try:
         while sock.recv(65536):
             pass
@@ -108,7 +108,7 @@
 
 def test_a_message_dials_and_the_answer_uses_the_same_connection(process):
     entry, home = process("entry"), process("home")
-    entry.knows(home)
+    entry.set_peers(home)
     assert entry.links.send("home", QUERY)
     assert home.next_event(Received) == Received("entry", QUERY)
     assert home.links.send("entry", QUERY)
@@ -122,8 +122,8 @@
 
 def test_both_sides_may_dial_at_once(process):
     left, right = process("left"), process("right")
-    left.knows(right)
-    right.knows(left)
+    left.set_peers(right)
+    right.set_peers(left)
     left.links.send("right", QUERY)
     right.links.send("left", QUERY)
     assert right.next_event(Received).sender == "left"
@@ -134,7 +134,7 @@
 
 def test_many_messages_arrive_whole_and_in_number(process):
     entry, home = process("entry"), process("home")
-    entry.knows(home)
+    entry.set_peers(home)
     sent = [ManifestUpdate(number, "x" * number) for number in range(2000)]
     for message in sent:
         assert entry.links.send("home", message)
@@ -144,20 +144,19 @@
 
 def test_an_oversized_message_is_refused_by_its_sender(process):
     entry, home = process("entry"), process("home")
-    entry.knows(home)
+    entry.set_peers(home)
     assert not entry.links.send("home", ManifestUpdate(1, "x" * MAX_FRAME_BYTES))
 
 
 def test_a_silent_connection_is_replaced(process, stack):
-    """A relay loses track of a connection: nothing passes, and nothing is closed.
+    """A connection that drops all data without an error is detected by both ends.
 
-    The sender sees no error and every message on it would wait for ever. Both ends miss
-    the link heartbeats, report the peer lost and a new connection carries on.
+    Both miss the link heartbeats and report the peer lost, and a new connection opens.
     """
     entry, home = process("entry"), process("home")
     relay = Relay((HOST, home.port))
     stack.callback(relay.close)
-    entry.knows(home, port=relay.address[1])
+    entry.set_peers(home, port=relay.address[1])
     entry.links.send("home", QUERY)
     home.next_event(Received)
     relay.silence()
@@ -170,16 +169,16 @@
 
 
 def test_the_silence_of_one_of_two_connections_is_reported(process, stack):
-    """Both sides dialled, so there are two connections; one of them goes silent.
+    """Both sides dialled, and one of the two connections goes silent.
 
-    What was sent on it is lost while the other works on. Unless the loss is reported,
-    an entry waits until the deadline for the answer to a copy that never arrived.
+    Unless its loss is reported, an entry waits until the deadline for the answer to a
+    request that never arrived.
     """
     entry, home = process("entry"), process("home")
     relay = Relay((HOST, home.port))
     stack.callback(relay.close)
-    entry.knows(home, port=relay.address[1])
-    home.knows(entry)
+    entry.set_peers(home, port=relay.address[1])
+    home.set_peers(entry)
     entry.links.send("home", QUERY)
     home.links.send("entry", QUERY)
     wait_until(lambda: entry.links.connection_count("home") == 2)
@@ -192,30 +191,29 @@
 
 
 def test_a_pause_of_the_own_process_is_not_the_silence_of_its_peers(process):
-    """A process is paused for longer than the silence limit and wakes.
+    """A process that resumes after a long pause must not close all its connections.
 
-    Its connections look old though the peers' heartbeats wait in the kernel. It must
-    not close them, or each pause would cut all links of a process at once.
+    They look silent, although the peers' heartbeats wait in the kernel.
     """
     clock = ManualClock(START)
     entry, home = process("entry", clock=clock), process("home")
-    entry.knows(home)
+    entry.set_peers(home)
     entry.links.send("home", QUERY)
     home.next_event(Received)
-    entry.links._watch_once(clock.now())
-    entry.links._watch_once(clock.advance(SILENCE_LIMIT * 10))
+    entry.links._check_connections(clock.now())
+    entry.links._check_connections(clock.advance(SILENCE_TIMEOUT * 10))
     assert entry.links.connection_count("home") == 1
 
 
 def test_silence_in_time_is_noticed(process):
     clock = ManualClock(START)
     entry, home = process("entry", clock=clock), process("home")
-    entry.knows(home)
+    entry.set_peers(home)
     entry.links.send("home", QUERY)
     entry.next_event(PeerConnected)
     step = timedelta(seconds=0.5)
-    for _ in range(SILENCE_LIMIT // step):
-        entry.links._watch_once(clock.advance(step))
+    for _ in range(SILENCE_TIMEOUT // step):
+        entry.links._check_connections(clock.advance(step))
     assert entry.links.connection_count("home") == 0
 
 
@@ -224,7 +222,7 @@
 )
 def test_a_peer_that_differs_is_refused_and_logged(process, caplog, options):
     entry, home = process("entry"), process("home", **options)
-    entry.knows(home)
+    entry.set_peers(home)
     entry.links.send("home", QUERY)
     assert entry.next_event(PeerLost) == PeerLost("home")
     wait_until(lambda: home.links.counts["refused_hellos"])
@@ -233,10 +231,9 @@
 
 
 def test_a_message_never_reaches_another_incarnation(process):
-    """The worker restarted: a new incarnation listens on the address of the old one.
+    """A message for a previous incarnation must not reach the next one at its address.
 
-    A message for the old one must be lost and not reach the new one, which would
-    answer truthfully that it never saw the task that the old one had started.
+    The new one would answer that it never saw a task that the old one had started.
     """
     entry, newer = process("entry"), process("home-2")
     entry.links.set_addresses([member("home-1", newer.port)])
@@ -284,16 +281,16 @@
 )
 def test_a_bad_frame_closes_only_its_connection(process, stack, bytes_sent):
     entry, home = process("entry"), process("home")
-    entry.knows(home)
+    entry.set_peers(home)
     entry.links.send("home", QUERY)
     home.next_event(Received)
-    read_to_end(stranger(stack, home, bytes_sent))
+    read_to_end(connect_raw(stack, home, bytes_sent))
     entry.links.send("home", QUERY)
     assert home.next_event(Received).sender == "entry"
 
 
 def test_a_stranger_that_only_sends_heartbeats_is_closed(process, stack):
-    sock = stranger(stack, process("home"))
+    sock = connect_raw(stack, process("home"))
 
     def keep_alive():
         while True:
@@ -305,13 +302,9 @@
 
 
 def test_what_was_sent_before_a_graceful_end_arrives(process):
-    """A process sends its last answers and closes at once.
-
-    Closing with unread bytes would reset the connection and drop the answers on the
-    way; so the sending half is shut first and the peer closes after reading all.
-    """
+    """Closing with unread bytes would reset the connection and drop sent answers."""
     entry, home = process("entry"), process("home")
-    entry.knows(home)
+    entry.set_peers(home)
     entry.links.send("home", QUERY)
     home.next_event(Received)
     last = [ManifestUpdate(number, "x" * 1000) for number in range(1000)]
