--- a/tests/wire/test_codec.py
+++ b/tests/wire/test_codec.py
@@ -28,13 +28,13 @@
 QUERY = QueryJob("r1", 3, JobKey("orchards", "invoice-7"))
 
 
-def test_every_message_of_the_vocabulary_can_be_sent():
+def test_every_message_type_can_be_sent():
     messages = set(typing.get_args(Message)) | set(typing.get_args(RunMessage))
     assert messages | {Hello} == set(KINDS)
 
 
 @pytest.mark.parametrize("kind", KINDS, ids=lambda kind: kind.__name__)
-def test_a_message_comes_back_equal(kind):
+def test_decoding_restores_the_message(kind):
     @FEW_EXAMPLES
     @given(values_of(kind))
     def roundtrip(message):
@@ -45,7 +45,7 @@
     roundtrip()
 
 
-def test_the_c_extension_does_the_work():
+def test_the_c_extension_is_used():
     buffer = TMemoryBuffer()
     protocol = TCompactProtocolAccelerated(buffer, fallback=False)
     assert protocol._fast_encode is fastbinary.encode_compact
--- a/tests/wire/test_dialler.py
+++ b/tests/wire/test_dialler.py
@@ -47,7 +47,7 @@
         yield peer, dialler
 
 
-def test_a_process_that_starts_again_at_its_address_is_found(dialling):
+def test_a_process_restarted_at_its_address_is_found(dialling):
     """The sidecar redials the address and gets the new incarnation from the hello."""
     sidecar, dialler = dialling
     first = Peer("entry-1")
@@ -66,7 +66,7 @@
     second.links.close()
 
 
-def test_an_address_that_is_wanted_no_more_is_not_dialled(dialling):
+def test_a_removed_address_is_not_dialled(dialling):
     sidecar, dialler = dialling
     entry = Peer("entry-1")
     port = entry.links.listen("127.0.0.1", 0)
@@ -88,7 +88,7 @@
         return super().now()
 
 
-def test_a_connection_that_lasts_wakes_nobody():
+def test_an_open_connection_is_not_polled():
     """Polling addresses that are connected would waste CPU in an idle process."""
     clock = CountingClock()
     sidecar, entry = Peer("sidecar"), Peer("entry-1")
@@ -105,7 +105,9 @@
         assert clock.reads == 0
 
 
-def test_an_address_is_dialled_again_after_a_lack_of_descriptors(dialling, monkeypatch):
+def test_an_address_is_redialled_after_running_out_of_descriptors(
+    dialling, monkeypatch
+):
     """An error while creating the socket must not end the dialling."""
     sidecar, dialler = dialling
     errors = [OSError(errno.EMFILE, "too many open files")]
--- a/tests/wire/test_frame_bound.py
+++ b/tests/wire/test_frame_bound.py
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize("task_count", [4, MAX_TASKS])
-def test_the_largest_whole_answer(task_count):
+def test_the_largest_answer_fits_a_frame(task_count):
     sizes = [MAX_ANSWER_BYTES // task_count] * task_count
     answer = Answer(None, Work.RAN, tuple(bytes(size) for size in sizes))
     assert fits(JobAnswer("r1", KEY, answer))
@@ -70,7 +70,7 @@
     ],
     ids=["two large", "small then large", "nearly full", "many"],
 )
-def test_records_of_starts(sizes):
+def test_messages_with_start_records_fit_a_frame(sizes):
     records = [started(number, size) for number, size in enumerate(sizes)]
     closed = [ClosedRecord(KEY, NOW, 0, DIGEST, ErrorKind.TASK_FAILED)] * 501
     messages = remember_messages(
@@ -103,7 +103,7 @@
     [(NEARLY, LARGEST, NEARLY), (FAILED,) * 499 + (LARGEST,), (FAILED,) * 1_001],
     ids=["large after nearly full", "failed then large", "many failed"],
 )
-def test_a_handed_ledger(records):
+def test_parts_of_a_handed_over_ledger_fit_a_frame(records):
     """Splitting a ledger must count the outcomes of failed jobs, too.
 
     Otherwise a part with many failed jobs and a large answer exceeds a frame, and the
--- a/tests/wire/test_links.py
+++ b/tests/wire/test_links.py
@@ -132,7 +132,7 @@
     assert right.links.connection_count("left") <= 2
 
 
-def test_many_messages_arrive_whole_and_in_number(process):
+def test_many_messages_arrive_complete_and_in_order(process):
     entry, home = process("entry"), process("home")
     entry.set_peers(home)
     sent = [ManifestUpdate(number, "x" * number) for number in range(2000)]
@@ -190,7 +190,7 @@
         assert end.links.connection_count(other) >= 1
 
 
-def test_a_pause_of_the_own_process_is_not_the_silence_of_its_peers(process):
+def test_a_pause_of_the_process_closes_no_connections(process):
     """A process that resumes after a long pause must not close all its connections.
 
     They look silent, although the peers' heartbeats wait in the kernel.
@@ -205,7 +205,7 @@
     assert entry.links.connection_count("home") == 1
 
 
-def test_silence_in_time_is_noticed(process):
+def test_a_silent_connection_is_closed_after_the_timeout(process):
     clock = ManualClock(START)
     entry, home = process("entry", clock=clock), process("home")
     entry.set_peers(home)
@@ -220,7 +220,7 @@
 @pytest.mark.parametrize(
     "options", [{"version": PROTOCOL_VERSION + 1}, {"partitions": PARTITIONS * 2}]
 )
-def test_a_peer_that_differs_is_refused_and_logged(process, caplog, options):
+def test_an_incompatible_peer_is_refused_and_logged(process, caplog, options):
     entry, home = process("entry"), process("home", **options)
     entry.set_peers(home)
     entry.links.send("home", QUERY)
@@ -289,7 +289,7 @@
     assert home.next_event(Received).sender == "entry"
 
 
-def test_a_stranger_that_only_sends_heartbeats_is_closed(process, stack):
+def test_a_connection_without_hello_is_closed(process, stack):
     sock = connect_raw(stack, process("home"))
 
     def keep_alive():
@@ -301,7 +301,7 @@
         keep_alive()
 
 
-def test_what_was_sent_before_a_graceful_end_arrives(process):
+def test_queued_messages_arrive_before_a_graceful_close(process):
     """Closing with unread bytes would reset the connection and drop sent answers."""
     entry, home = process("entry"), process("home")
     entry.set_peers(home)
--- a/tests/wire/test_redial.py
+++ b/tests/wire/test_redial.py
@@ -11,14 +11,14 @@
 )
 
 
-def test_an_instance_whose_process_is_starting_is_dialled_without_growing_pauses():
+def test_the_delay_stays_constant_for_the_first_refusals():
     """Growing delays would make a sidecar find a restarted entry too late."""
     backoff = RedialBackoff()
     delays = {backoff.record_refused() for _ in range(MAX_QUICK_REFUSALS)}
     assert delays == {REFUSED_DELAY}
 
 
-def test_an_instance_that_gets_its_power_back_is_found_soon():
+def test_a_restored_instance_is_found_soon():
     """A long connect timeout would make a sidecar find a restored instance too late."""
     backoff = RedialBackoff()
     downtime = timedelta(milliseconds=300)
@@ -28,7 +28,7 @@
     assert elapsed - downtime <= MAX_CONNECT_TIMEOUT + MAX_RETRY_DELAY / 2
 
 
-def test_an_address_that_does_not_answer_is_given_more_time_and_asked_less_often():
+def test_timeout_and_delay_grow_while_unanswered():
     backoff = RedialBackoff()
     delays = [backoff.record_unanswered() for _ in range(4)]
     assert delays == [
@@ -40,14 +40,14 @@
     assert backoff.connect_timeout == MAX_CONNECT_TIMEOUT
 
 
-def test_one_that_refuses_for_good_is_dialled_ever_later():
+def test_the_delay_grows_after_many_refusals():
     backoff = RedialBackoff()
     for _ in range(MAX_QUICK_REFUSALS + 3):
         delay = backoff.record_refused()
     assert delay == 2 * MAX_RETRY_DELAY
 
 
-def test_a_connection_begins_anew():
+def test_a_connection_resets_the_backoff():
     backoff = RedialBackoff()
     first = backoff.connect_timeout
     backoff.record_unanswered()
