--- a/tests/standins/entry_process.py
+++ b/tests/standins/entry_process.py
@@ -1,4 +1,4 @@
-"""An entry process under test and the home that a test plays for it."""
+"""An entry process under test and a fake home for it."""
 
 import json
 from contextlib import closing
@@ -26,7 +26,7 @@
 
 
 class Home:
-    """A member that the test plays; it keeps what it is sent."""
+    """A fake home with real peer links; it queues the job messages it receives."""
 
     def __init__(self):
         clock = SystemClock()
@@ -34,7 +34,7 @@
         self.links = PeerLinks(hello, clock)
         self.port = self.links.listen("127.0.0.1", 0)
         self.jobs = Queue()
-        self.links.start(self._take)
+        self.links.start(self._on_event)
 
     def member(self):
         now = datetime.now(timezone.utc)
@@ -54,18 +54,19 @@
         )
 
     def take(self, kind):
-        """Return (sender, message) of the next job message."""
+        """Return sender and message of the next job message, of the given type."""
         sender, message = self.jobs.get(timeout=BOUND_SECONDS)
         assert isinstance(message, kind)
         return sender, message
 
     def answer(self, answer, kind=SubmitJob):
+        """Answer the next job message and return it."""
         sender, message = self.take(kind)
         key = message.submission.key if kind is SubmitJob else message.key
         self.links.send(sender, JobAnswer(message.request, key, answer))
         return message
 
-    def _take(self, event):
+    def _on_event(self, event):
         if isinstance(event, Received) and isinstance(
             event.message, (SubmitJob, QueryJob, CancelJob)
         ):
@@ -73,7 +74,7 @@
 
 
 class Entry:
-    """The process under test and its ports."""
+    """The entry process under test and its ports."""
 
     def __init__(self, processes, table):
         self.process = processes.start_role(
@@ -102,11 +103,11 @@
         with gevent.Timeout(BOUND_SECONDS):
             while request(self.admin_port, "GET", "/readyz")[0] != 200:
                 gevent.sleep(0.02)
-        # Its row is written by then; its view of the members is read a moment later.
+        # The entry is ready once its row is written; it reads the members afterwards.
         with gevent.Timeout(BOUND_SECONDS):
-            while not (own := self._own_members()):
+            while not (members := self._own_members()):
                 gevent.sleep(0.02)
-        [member] = own
+        [member] = members
         self.incarnation = member["incarnation"]
         return self
 
@@ -135,16 +136,17 @@
 
 
 def request(port, method, path, body=b"", headers=None):
-    """Return status, headers and JSON body."""
+    """Return status, headers and body; a JSON body is parsed."""
     client = HTTPClient("127.0.0.1", port, network_timeout=BOUND_SECONDS)
     with closing(client):
         response = client.request(method, path, body=body, headers=headers or {})
         text = response.read()
-        found = {name.lower(): value for name, value in response.headers}
-        is_json = "json" in found.get("content-type", "")
-        return response.status_code, found, json.loads(text) if is_json else text
+        lower_case = {name.lower(): value for name, value in response.headers}
+        is_json = "json" in lower_case.get("content-type", "")
+        return response.status_code, lower_case, json.loads(text) if is_json else text
 
 
 def write(table, rows):
+    """Write rows to the table, whatever their versions."""
     writes = [{"key": key, "value": value} for key, value in rows.items()]
     table.post("/v1/transactions", {"checks": [], "writes": writes})
--- a/tests/standins/platform_store.py
+++ b/tests/standins/platform_store.py
@@ -1,6 +1,6 @@
-"""A stand-in for the platform's store: rows, a feed, faults; in the test's process.
+"""An in-process fake of the platform's store, with switchable faults.
 
-Follows the store's published interface as far as the product uses it.
+Implements the part of the store's HTTP interface that the product uses.
 """
 
 import base64
@@ -16,13 +16,13 @@
 
 
 class PlatformStore:
-    """Rows by table and key; the part is always empty.
+    """Serves rows by table and key; the ``part`` of each row is empty.
 
     Attributes:
-      status: answered to every call in place of its result; None for no fault.
-      silent: calls stay unanswered until it is False again.
-      lose_answers: so many further writes take effect and go unanswered.
-      calls: method and path of each call.
+      status: HTTP status returned for every request; None serves requests normally.
+      silent: requests wait for their answer until this is False again.
+      lose_answers: number of further writes that take effect without an answer.
+      calls: method and path of each request received.
     """
 
     def __init__(self, host: str = "127.0.0.1") -> None:
@@ -45,11 +45,11 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """Where it listens."""
+        """Host and port of the server."""
         return self._server.address
 
     def put(self, table: str, key: str, value: bytes | None) -> None:
-        """Write a row, as the operator does; None removes it."""
+        """Write a row without checks; None removes it."""
         self.version += 1
         encoded = base64.b64encode(value).decode() if value is not None else None
         self.rows[table, key] = (self.version, encoded)
@@ -61,12 +61,12 @@
         self.put(table, key, json.dumps(value).encode())
 
     def value(self, table: str, key: str) -> bytes | None:
-        """Return the value of a row."""
+        """Return the value of a row, or None if there is no such row."""
         _, encoded = self.rows.get((table, key), (0, None))
         return base64.b64decode(encoded) if encoded is not None else None
 
     def forget_history(self) -> None:
-        """Drop all history: a feed from an older version is answered 410."""
+        """Drop the change history: a feed from an older version is answered 410."""
         self.oldest = self.version + 1
         self.version += 1
         self._changed.set()
@@ -116,16 +116,16 @@
                 for (table, key), (version, value) in self.rows.items()
                 if table == query["table"] and version > after
             )
-            left = end - time.monotonic()
-            if changed or left <= 0:
+            remaining = end - time.monotonic()
+            if changed or remaining <= 0:
                 rows = [_row(table, key, ver, val) for ver, table, key, val in changed]
                 return 200, {"rows": rows}
-            self._changed.wait(left)
+            self._changed.wait(remaining)
 
     def _transact(self, body):
         for check in body["expected_revision"]:
-            known, value = self.rows.get((check["table"], check["key"]), (0, None))
-            if check["ver"] != (known if value is not None else 0):
+            version, value = self.rows.get((check["table"], check["key"]), (0, None))
+            if check["ver"] != (version if value is not None else 0):
                 return 412, {"rows": []}
         for put in body["puts"]:
             self.put(put["table"], put["key"], base64.b64decode(put["value"]))
--- a/tests/standins/platform_worker.py
+++ b/tests/standins/platform_worker.py
@@ -1,7 +1,6 @@
-"""A stand-in for a worker of the platform: runs tasks by sleeping, with a real clock.
+"""A fake platform worker behind its HTTP interface, run by the real clock.
 
-What it does with orders is the worker of ``tests/runs/worker.py``; this adds the
-published interface, and heartbeats to the sidecar.
+``tests/runs/worker.py`` executes the commands; this adds HTTP and heartbeats.
 """
 
 import json
@@ -38,25 +37,25 @@
 
 
 class PlatformWorker:
-    """One worker.
+    """Serves the worker's HTTP interface; its tasks only take time.
 
     Args:
-      worker_id: its id.
-      host: IP number to listen on.
-      takes: how long each task runs.
+      worker_id: id of the worker.
+      host: IP address to listen on.
+      task_duration: how long each task runs.
 
     Attributes:
-      worker: what it runs.
-      status: answered to every order in place of its result; None for no fault.
-      lose_answers: so many further starts take effect and go unanswered.
-      silent: orders stay unanswered until it is False again.
+      worker: executes the commands.
+      status: HTTP status returned for every command; None executes commands.
+      lose_answers: number of further starts that take effect without an answer.
+      silent: commands wait until this is False again.
     """
 
     def __init__(
         self,
         worker_id: str,
         host: str = "127.0.0.1",
-        takes: timedelta = timedelta(milliseconds=100),
+        task_duration: timedelta = timedelta(milliseconds=100),
     ) -> None:
         self.id = worker_id
         self.born = int(time.time() * 1000)
@@ -65,14 +64,16 @@
         self.silent = False
         self.state = "ready"
         self.sequence = 0
-        self._takes = takes
-        self._began = time.monotonic()
+        self._task_duration = task_duration
+        self._started_at = time.monotonic()
         self._server = WSGIServer((host, 0), self._answer, log=None, error_log=None)
-        self.worker = self._new_life()
+        self.worker = self._new_worker()
 
-    def _new_life(self) -> FakeWorker:
+    def _new_worker(self) -> FakeWorker:
         return FakeWorker(
-            Room(8000, 64000, 0), lambda task: Room(3000, 64, 0), lambda t: self._takes
+            Room(8000, 64000, 0),
+            lambda task: Room(3000, 64, 0),
+            lambda t: self._task_duration,
         )
 
     def __enter__(self) -> "PlatformWorker":
@@ -84,15 +85,15 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """Where it listens."""
+        """Host and port of the server."""
         return self._server.address
 
     def crash(self) -> None:
-        """Start the next life under the same id."""
+        """Lose all runs and start a new incarnation under the same id."""
         self.born += 1
         self.sequence = 0
-        self._began = time.monotonic()
-        self.worker = self._new_life()
+        self._started_at = time.monotonic()
+        self.worker = self._new_worker()
 
     def heartbeat(self) -> dict:
         """Return the body of the next heartbeat."""
@@ -113,13 +114,13 @@
         }
 
     def _clock(self) -> timedelta:
-        return timedelta(seconds=time.monotonic() - self._began)
+        return timedelta(seconds=time.monotonic() - self._started_at)
 
     def _answer(self, environ, start_response):
         while self.silent:
             gevent.sleep(0.02)
         body = json.loads(environ["wsgi.input"].read() or b"{}")
-        status, fields = self._order(environ["PATH_INFO"], body)
+        status, fields = self._handle_command(environ["PATH_INFO"], body)
         payload = json.dumps(fields).encode()
         headers = [
             ("Content-Type", "application/json"),
@@ -128,44 +129,44 @@
         start_response(f"{status} Answer", headers)
         return [payload]
 
-    def _order(self, path: str, body: dict):
+    def _handle_command(self, path: str, body: dict):
         if self.status is not None:
             return self.status, {}
         if path == "/v1/hold":
-            return self._hold(body)
+            return self._renew_lease(body)
         run = parse_run_id(body["task"], body["run"])
         token = body.get("fencing_token", 0)
         if path == "/v1/run-start":
             lease_end = body["deadline_ms"] * _MILLISECOND
-            order = StartCommand(run, body["spec"], self.id, lease_end, token)
-            result = self.worker.start(order, self._clock())
+            command = StartCommand(run, body["spec"], self.id, lease_end, token)
+            result = self.worker.start(command, self._clock())
             if self.lose_answers:
                 self.lose_answers -= 1
                 raise Unanswered
-            return self._ordinary(result)
+            return self._command_response(result)
         result = self.worker.stop(StopCommand(run, self.id, token), self._clock())
-        return self._ordinary(result)
+        return self._command_response(result)
 
-    def _ordinary(self, result: CommandResult):
+    def _command_response(self, result: CommandResult):
         clock = {"clock_ms": self._clock() // _MILLISECOND}
         if result is CommandResult.ACCEPTED:
             return 200, clock
         return 409, {**clock, "reason": _REASONS[result]}
 
-    def _hold(self, body: dict):
+    def _renew_lease(self, body: dict):
         seen = body["last_seen"]
         lease_end = body.get("deadline_ms")
-        order = RenewCommand(
+        command = RenewCommand(
             self.id,
             lease_end * _MILLISECOND if lease_end is not None else None,
             seen,
             body.get("wait_ms", 0) * _MILLISECOND,
             body.get("fencing_token", 0),
         )
-        result = self.worker.renew(order, self._clock())
+        result = self.worker.renew(command, self._clock())
         if result is not CommandResult.ACCEPTED:
-            return self._ordinary(result)
-        end = time.monotonic() + order.wait.total_seconds()
+            return self._command_response(result)
+        end = time.monotonic() + command.wait.total_seconds()
         while time.monotonic() < end:
             self.worker.advance(self._clock())
             if any(ended.number > seen for ended in self.worker.ended):
@@ -176,8 +177,8 @@
             "clock_ms": clock // _MILLISECOND,
             "born": self.born,
             "running": [
-                [task_name(each.run.task), each.run.number, "", each.percent, 0]
-                for each in self.worker.listed(clock)
+                [task_name(status.run.task), status.run.number, "", status.percent, 0]
+                for status in self.worker.listed(clock)
             ],
             "ended": [
                 [e.number, task_name(e.run.task), e.run.number, _ENDS[e.end], ""]
--- a/tests/standins/processes.py
+++ b/tests/standins/processes.py
@@ -1,7 +1,6 @@
-"""Processes under test: started with a settings file, ended by their id.
+"""Starts processes under test with settings files and kills those left over.
 
-Each prints JSON lines; the one whose message is "listening" gives its ports. A process
-that is still alive at the end of a test is killed by the fixture that owns it.
+Each process prints JSON lines; the line with the message "listening" gives its ports.
 """
 
 import json
@@ -21,12 +20,12 @@
 
 
 class Process:
-    """One started process and the lines it printed.
+    """A started process and the lines it printed.
 
     Args:
-      arguments: what follows ``python -m``.
+      arguments: command line after ``python -m`` or after the program.
       log_path: file that receives standard output and error.
-      program: executable to run in place of ``python -m``, away from the sources.
+      program: executable to run in place of ``python -m``, without PYTHONPATH.
     """
 
     def __init__(
@@ -34,13 +33,13 @@
     ) -> None:
         self._log_path = log_path
         environment = {**os.environ, "PYTHONPATH": str(ROOT)}
-        start = [sys.executable, "-m"]
+        command = [sys.executable, "-m"]
         if program is not None:
             del environment["PYTHONPATH"]
-            start = [str(program)]
+            command = [str(program)]
         with log_path.open("wb") as log:
             self._child = subprocess.Popen(
-                [*start, *arguments],
+                [*command, *arguments],
                 stdin=subprocess.DEVNULL,
                 stdout=log,
                 stderr=log,
@@ -55,11 +54,11 @@
 
     @property
     def alive(self) -> bool:
-        """Whether it still runs."""
+        """Whether the process still runs."""
         return self._child.poll() is None
 
     def lines(self) -> list[dict[str, Any]]:
-        """Return its JSON lines so far; other output is left out."""
+        """Return the JSON lines printed so far, without other output."""
         parsed = []
         for line in self._log_path.read_text(errors="replace").splitlines():
             try:
@@ -70,37 +69,37 @@
                 parsed.append(entry)
         return parsed
 
-    def wait_for_line(self, event: str) -> dict[str, Any]:
+    def wait_for_line(self, message: str) -> dict[str, Any]:
         """Wait for a log line with this message and return it.
 
         Raises:
-          AssertionError: the process ended without it, or the bound passed; shows its
-            output.
+          AssertionError: the process ended without it, or the wait timed out; shows
+            the end of its output.
         """
         return self._wait(
             lambda: next(
-                (line for line in self.lines() if line.get("message") == event), None
+                (line for line in self.lines() if line.get("message") == message), None
             ),
-            f"no line {event!r}",
+            f"no line {message!r}",
         )
 
     def send_signal(self, number: int) -> None:
-        """Send a signal to this process alone."""
+        """Send a signal to the process, not to its children."""
         self._child.send_signal(number)
 
     def kill(self) -> None:
-        """End it at once and reap it."""
+        """Kill the process and reap it."""
         if self.alive:
             self._child.send_signal(signal.SIGKILL)
         self._child.wait(BOUND_SECONDS)
 
     def terminate(self) -> int:
-        """Ask for a graceful stop and return the exit status."""
+        """Send SIGTERM and return the exit status."""
         self._child.send_signal(signal.SIGTERM)
         return self.wait_exit()
 
     def wait_exit(self) -> int:
-        """Wait for the end and return the exit status."""
+        """Wait for the process to end and return the exit status."""
         with gevent.Timeout(BOUND_SECONDS):
             while self.alive:
                 gevent.sleep(0.02)
@@ -110,7 +109,7 @@
         with gevent.Timeout(BOUND_SECONDS, False):
             is_alive = True
             while is_alive:
-                # The last look is at all that it printed before it ended.
+                # Checked before find(), so that output just before the end is found.
                 is_alive = self.alive
                 found = find()
                 if found is not None:
@@ -120,10 +119,10 @@
 
 
 class Processes:
-    """Starts processes and ends all of them on leaving.
+    """Context manager that starts processes and kills them on exit.
 
     Args:
-      folder: where settings and logs of the processes go.
+      folder: directory for settings files and logs.
     """
 
     def __init__(self, folder: Path) -> None:
@@ -138,7 +137,7 @@
         self._stack.close()
 
     def start(self, *arguments: str, program: Path | None = None) -> Process:
-        """Start ``python -m arguments``, or a program; it is killed on leaving."""
+        """Start ``python -m arguments``, or a program with these arguments."""
         self._count += 1
         log_path = self._folder / f"{self._count}.log"
         process = Process(list(arguments), log_path, program)
@@ -146,11 +145,11 @@
         return process
 
     def start_table(self) -> "StandIn":
-        """Start a table and wait until it listens."""
+        """Start the fake table and wait until it listens."""
         return self._start_stand_in("tests.standins.table")
 
     def start_upstream(self) -> "StandIn":
-        """Start an upstream and wait until it listens."""
+        """Start a fake upstream and wait until it listens."""
         return self._start_stand_in("tests.standins.upstream")
 
     def start_role(
@@ -160,13 +159,13 @@
         built_file: Path | None = None,
         wait: bool = True,
     ) -> Process:
-        """Start a role of the product and wait until it listens.
+        """Start an entry or a sidecar and wait until it listens.
 
         Args:
           command: the sub-command, "entry" or "sidecar".
-          settings: the whole settings file.
-          built_file: the one executable file, to start it in place of the sources.
-          wait: False returns before it listens.
+          settings: content of the settings file.
+          built_file: built executable to start in place of the sources.
+          wait: whether to wait until it listens.
         """
         self._count += 1
         path = self._folder / f"{self._count}.settings.json"
--- a/tests/standins/relay.py
+++ b/tests/standins/relay.py
@@ -1,4 +1,4 @@
-"""A TCP relay that can lose track of its connections, as middleboxes do."""
+"""A TCP relay that can stall its connections, as a stateful middlebox may."""
 
 from contextlib import ExitStack
 
@@ -13,7 +13,7 @@
     """Forwards 127.0.0.1 connections to a target.
 
     Args:
-      target: (host, port) to forward to; None until ``aim`` tells it.
+      target: (host, port) to forward to; None until ``set_target``.
     """
 
     def __init__(self, target: tuple[str, int] | None) -> None:
@@ -29,7 +29,7 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """Where to connect instead of the target."""
+        """Host and port to connect to instead of the target."""
         return self._listener.getsockname()
 
     def aim(self, target: tuple[str, int]) -> None:
@@ -37,7 +37,7 @@
         self._target = target
 
     def silence(self) -> None:
-        """Forward nothing more on today's connections; new ones work."""
+        """Forward nothing more on open connections; new ones work."""
         self._forwarding.clear()
         self._forwarding = Event()
         self._forwarding.set()
@@ -51,19 +51,19 @@
 
     def _accept(self) -> None:
         while True:
-            near, _ = self._listener.accept()
+            client, _ = self._listener.accept()
             if self._target is None:
-                near.close()
+                client.close()
                 continue
-            far = socket()
+            server = socket()
             try:
-                far.connect(self._target)
+                server.connect(self._target)
             except OSError:
-                near.close()
+                client.close()
                 continue
             self.accepted += 1
-            self._sockets += [near, far]
-            for source, sink in ((near, far), (far, near)):
+            self._sockets += [client, server]
+            for source, sink in ((client, server), (server, client)):
                 forward = gevent.spawn(self._forward, source, sink, self._forwarding)
                 self._greenlets.append(forward)
 
--- a/tests/standins/server.py
+++ b/tests/standins/server.py
@@ -1,4 +1,4 @@
-"""What the stand-ins share: JSON over gevent's WSGI server."""
+"""A JSON server on gevent's WSGI server, shared by the fake services."""
 
 import errno
 import json
@@ -15,7 +15,7 @@
 
 
 class Unanswered(ConnectionResetError):
-    """Raised by a handler: the server closes the connection without an answer."""
+    """Raised by a handler to close the connection without an answer."""
 
     def __init__(self) -> None:
         super().__init__(errno.ECONNRESET, "unanswered")
@@ -26,8 +26,8 @@
 
     Args:
       port: TCP port; 0 for any free one.
-      routes: for each method and path a function from the request's JSON body and its
-        WSGI environment to a status and an answer.
+      routes: handlers by method and path; each takes the JSON body and the WSGI
+        environment and returns a status and a JSON answer.
     """
 
     def application(environ, start_response):
@@ -49,7 +49,7 @@
 
 
 def serve(port: int, routes: Routes) -> None:
-    """Serve until SIGTERM; one JSON line on standard output gives the port."""
+    """Serve until SIGTERM; a JSON line on standard output gives the port."""
     server = make_server(port, routes)
     server.start()
     stopped = Event()
--- a/tests/standins/sockets.py
+++ b/tests/standins/sockets.py
@@ -1,4 +1,4 @@
-"""A server that answers every request with given bytes, however wrong they are."""
+"""A TCP server that answers with fixed bytes, for malformed or missing answers."""
 
 import gevent
 from gevent.socket import socket
@@ -23,7 +23,7 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """Where to connect."""
+        """Host and port of the server."""
         return self._listener.getsockname()
 
     def close(self) -> None:
--- a/tests/standins/table.py
+++ b/tests/standins/table.py
@@ -1,8 +1,7 @@
-"""A stand-in for the platform's transactional table service.
+"""An in-memory fake of the platform's transactional table service.
 
-Rows live in memory. Versions come from one growing revision, also across deletes, so a
-version never repeats for a key. Faults are switched over HTTP, and reads and writes
-are counted. Run: python -m tests.standins.table --port 0
+Versions come from one growing revision, also across deletes, so a version never repeats
+for a key. Faults are set over HTTP. Run: python -m tests.standins.table --port 0
 """
 
 import json
@@ -16,12 +15,13 @@
 
 
 class Faults(NamedTuple):
-    """What goes wrong now.
+    """Faults to inject.
 
     Attributes:
-      down: each request goes unanswered and takes no effect.
-      delay_seconds: wait before each request takes effect.
-      lose_answers: so many further transactions take effect and go unanswered.
+      down: requests have no effect and get no answer.
+      delay_seconds: delay before each request takes effect.
+      lose_answers: number of further transactions that take effect without an
+        answer.
     """
 
     down: bool = False
@@ -30,7 +30,7 @@
 
 
 class Table:
-    """Rows, their versions, faults and counts."""
+    """Serves rows with versions, injects faults and counts reads and writes."""
 
     def __init__(self) -> None:
         self._rows: dict[str, tuple[int, str]] = {}
@@ -41,7 +41,7 @@
 
     @property
     def routes(self) -> Routes:
-        """The functions behind the HTTP interface."""
+        """Handlers of the HTTP interface."""
         return {
             ("POST", "/v1/read"): self._read,
             ("POST", "/v1/transactions"): self._transact,
@@ -55,13 +55,13 @@
         return 200, self._faults._asdict()
 
     def _set_advertised(self, body, environ):
-        """Registrations of this worker name a relay's port from now on."""
+        """Replace the port in later registrations of a worker, by that of a relay."""
         self._advertised[body["worker"]] = body["port"]
         return 200, {}
 
     def _read(self, body, environ):
         self._counts["reads"] += 1
-        self._suffer()
+        self._inject_faults()
         rows = [
             {"key": key, "version": version, "value": value}
             for key, (version, value) in sorted(self._rows.items())
@@ -71,15 +71,15 @@
 
     def _transact(self, body, environ):
         self._counts["writes"] += 1
-        self._suffer()
+        self._inject_faults()
         for check in body["checks"]:
             version, _ = self._rows.get(check["key"], (0, None))
             if version != check["version"]:
                 return 409, {"committed": False}
         self._write(body["writes"])
         if self._faults.lose_answers:
-            left = self._faults.lose_answers - 1
-            self._faults = self._faults._replace(lose_answers=left)
+            remaining = self._faults.lose_answers - 1
+            self._faults = self._faults._replace(lose_answers=remaining)
             raise Unanswered
         return 200, {"committed": True, "revision": self._revision}
 
@@ -89,17 +89,17 @@
             if write["value"] is None:
                 self._rows.pop(write["key"], None)
             else:
-                value = self._with_relay(write["key"], write["value"])
+                value = self._replace_port(write["key"], write["value"])
                 self._rows[write["key"]] = (self._revision, value)
 
-    def _with_relay(self, key: str, value: str) -> str:
+    def _replace_port(self, key: str, value: str) -> str:
         if not self._advertised or not key.startswith(MEMBERS_PREFIX):
             return value
         member = json.loads(value)
         member["port"] = self._advertised.get(member["worker"], member["port"])
         return json.dumps(member)
 
-    def _suffer(self):
+    def _inject_faults(self):
         if self._faults.down:
             raise Unanswered
         if self._faults.delay_seconds:
--- a/tests/standins/test_processes.py
+++ b/tests/standins/test_processes.py
@@ -1,19 +1,19 @@
-"""What a process printed is found, also once it has ended."""
+"""Waiting for a log line also works after the process has ended."""
 
 import pytest
 
 from tests.standins.processes import Processes
 
 
-def test_a_line_is_found_that_a_process_printed_before_it_ended(tmp_path):
-    """A caller that asks for the ports of a process that just stopped got an error."""
+def test_line_printed_before_process_ended_is_found(tmp_path):
+    """Guards against an error when asking a stopped process for its ports."""
     with Processes(tmp_path) as processes:
         process = processes.start_table().process
         process.kill()
         assert process.wait_for_line("listening")["port"]
 
 
-def test_a_process_that_ended_without_the_line_is_an_error(tmp_path):
+def test_process_that_ended_without_the_line_is_an_error(tmp_path):
     with Processes(tmp_path) as processes:
         process = processes.start("json.tool", "--help")
         with pytest.raises(AssertionError, match="no line 'listening'"):
--- a/tests/standins/upstream.py
+++ b/tests/standins/upstream.py
@@ -1,7 +1,7 @@
-"""A stand-in for an upstream: it sleeps for the task's time and echoes.
+"""A fake upstream that sleeps for a task's time and echoes its body.
 
-It keeps a list of all starts, with the headers that name the task. Faults are switched
-over HTTP. Run: python -m tests.standins.upstream --port 0
+It records all starts with the headers that identify the task. Faults are set over HTTP.
+Run: python -m tests.standins.upstream --port 0
 """
 
 from typing import NamedTuple
@@ -16,13 +16,13 @@
 
 
 class Faults(NamedTuple):
-    """What goes wrong now.
+    """Faults to inject.
 
     Attributes:
-      hang: a task starts and is never answered while this holds.
-      fail: each task is answered 500 at once.
-      drop: a task starts and the connection closes without an answer.
-      slow_factor: the task's time is multiplied by this.
+      hang: tasks start and are not answered until this is False again.
+      fail: tasks are answered 500 at once.
+      drop: tasks start and the connection closes without an answer.
+      slow_factor: multiplier of each task's time.
     """
 
     hang: bool = False
@@ -32,7 +32,7 @@
 
 
 class Upstream:
-    """Starts seen and faults."""
+    """Runs tasks, records their starts and injects faults."""
 
     def __init__(self) -> None:
         self._starts: list[dict[str, str]] = []
@@ -42,7 +42,7 @@
 
     @property
     def routes(self) -> Routes:
-        """The functions behind the HTTP interface."""
+        """Handlers of the HTTP interface."""
         return {
             ("POST", "/run"): self._run,
             ("POST", "/faults"): self._set_faults,
