--- a/tests/failures/system.py
+++ b/tests/failures/system.py
@@ -131,7 +131,7 @@
             "entry" if name in ENTRIES else "sidecar", self._settings(name), wait=wait
         )
         if port is not None:
-            self.relays[-1].aim((HOST, self.ports(name)["peer_port"]))
+            self.relays[-1].set_target((HOST, self.ports(name)["peer_port"]))
 
     def ports(self, name: str) -> dict[str, int]:
         """Return the ports of a process."""
--- a/tests/failures/test_process_lost.py
+++ b/tests/failures/test_process_lost.py
@@ -90,7 +90,7 @@
     )
     accepted = sum(relay.accepted for relay in system.relays)
     for relay in system.relays:
-        relay.silence()
+        relay.stall_connections()
     silenced = monotonic()
     report = system.serve_again("connections silent", list(system.owners()), silenced)
     assert report["unknown_keys"] == 0
--- a/tests/shell/test_entry.py
+++ b/tests/shell/test_entry.py
@@ -13,14 +13,14 @@
 from gypsumspoke.core.rows import member_key
 from gypsumspoke.core.values import Answer, Outcome
 from tests.standins.entry_process import DONE, PARTITIONS, job, request
-from tests.standins.processes import BOUND_SECONDS, call_json
+from tests.standins.processes import TIMEOUT_SECONDS, call_json
 
 
 def test_a_job_is_forwarded_and_its_answer_returned(entry, home):
     caller = entry.submit_later()
     message = home.answer(DONE)
     assert [task.body for task in message.submission.tasks] == [b'{"paid": 7}', b"2"]
-    status, _, body = caller.get(timeout=BOUND_SECONDS)
+    status, _, body = caller.get(timeout=TIMEOUT_SECONDS)
     assert status == 200
     assert body["work"] == "ran"
     assert body["results"] == [{"pot": 1.1}, {"not_json_base64": "cGxhaW4="}]
@@ -37,7 +37,7 @@
             retry_after=timedelta(seconds=1.2),
         )
     )
-    status, headers, body = caller.get(timeout=BOUND_SECONDS)
+    status, headers, body = caller.get(timeout=TIMEOUT_SECONDS)
     assert status == 503
     assert headers["content-type"] == "application/problem+json"
     assert headers["retry-after"] == "2"
@@ -58,15 +58,15 @@
 def test_answers_out_of_order_reach_their_own_callers(entry, home):
     """Answers are matched by request id, not by their order on the connection."""
     first = entry.submit_later(key="a")
-    sender, one = home.take(SubmitJob)
+    sender, one = home.receive(SubmitJob)
     second = entry.submit_later(key="b")
-    _, two = home.take(SubmitJob)
+    _, two = home.receive(SubmitJob)
     for message, result in ((two, b'"b"'), (one, b'"a"')):
         answer = Answer(None, Work.RAN, (result,))
         key = message.submission.key
         home.links.send(sender, JobAnswer(message.request, key, answer))
-    assert first.get(timeout=BOUND_SECONDS)[2]["results"] == ["a"]
-    assert second.get(timeout=BOUND_SECONDS)[2]["results"] == ["b"]
+    assert first.get(timeout=TIMEOUT_SECONDS)[2]["results"] == ["a"]
+    assert second.get(timeout=TIMEOUT_SECONDS)[2]["results"] == ["b"]
 
 
 def test_a_caller_may_ask_for_the_answer_later(entry, home):
@@ -75,13 +75,13 @@
         ErrorKind.JOB_RUNNING, Work.RUNNING, retry_after=timedelta(seconds=1)
     )
     assert home.answer(running).wait is False
-    assert caller.get(timeout=BOUND_SECONDS)[0] == 202
+    assert caller.get(timeout=TIMEOUT_SECONDS)[0] == 202
     query = gevent.spawn(request, entry.port, "GET", "/v1/jobs/pots/a%2Fb%20%C3%A9")
     assert home.answer(DONE, QueryJob).key == ("pots", "a/b é")
-    assert query.get(timeout=BOUND_SECONDS)[0] == 200
+    assert query.get(timeout=TIMEOUT_SECONDS)[0] == 200
     cancel = gevent.spawn(request, entry.port, "DELETE", "/v1/jobs/pots/k1")
     home.answer(Answer(ErrorKind.CANCELLED, Work.NOT_RUN), CancelJob)
-    status, _, body = cancel.get(timeout=BOUND_SECONDS)
+    status, _, body = cancel.get(timeout=TIMEOUT_SECONDS)
     assert (status, body["kind"]) == (200, "cancelled")
 
 
@@ -93,12 +93,12 @@
     head = f"POST /v1/jobs HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n\r\n"
     with closing(socket.create_connection(("127.0.0.1", entry.port))) as caller:
         caller.sendall(head.encode() + body)
-        sender, message = home.take(SubmitJob)
+        sender, message = home.receive(SubmitJob)
     answer = JobAnswer(message.request, message.submission.key, DONE)
     home.links.send(sender, answer)
     again = entry.submit_later()
     home.answer(DONE)
-    assert again.get(timeout=BOUND_SECONDS)[0] == 200
+    assert again.get(timeout=TIMEOUT_SECONDS)[0] == 200
 
 
 @pytest.mark.parametrize(
@@ -125,14 +125,14 @@
     assert problem["work"] in ("not_passed_on", "unknown")
     good = entry.submit_later()
     home.answer(DONE)
-    assert good.get(timeout=BOUND_SECONDS)[0] == 200
+    assert good.get(timeout=TIMEOUT_SECONDS)[0] == 200
 
 
 def test_an_endless_chunked_body_is_refused(entry):
     chunk = b"10000\r\n" + b" " * 0x10000 + b"\r\n"
     head = b"POST /v1/jobs HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
     with closing(socket.create_connection(("127.0.0.1", entry.port))) as caller:
-        caller.settimeout(BOUND_SECONDS)
+        caller.settimeout(TIMEOUT_SECONDS)
         caller.sendall(head + chunk * 20)
         assert caller.recv(100).startswith(b"HTTP/1.1 413 ")
 
@@ -142,15 +142,15 @@
     the caller gets its answer before the process exits with status 0.
     """
     caller = entry.submit_later()
-    sender, message = home.take(SubmitJob)
+    sender, message = home.receive(SubmitJob)
     entry.process.send_signal(15)
-    with gevent.Timeout(BOUND_SECONDS):
+    with gevent.Timeout(TIMEOUT_SECONDS):
         while request(entry.admin_port, "GET", "/readyz")[0] == 200:
             gevent.sleep(0.02)
     assert entry.submit({"key": "late"})[2]["kind"] == "entry_draining"
     answer = JobAnswer(message.request, message.submission.key, DONE)
     home.links.send(sender, answer)
-    assert caller.get(timeout=BOUND_SECONDS)[0] == 200
+    assert caller.get(timeout=TIMEOUT_SECONDS)[0] == 200
     assert entry.process.wait_exit() == 0
 
 
@@ -168,7 +168,7 @@
     table.post("/faults", {"down": True})
     caller = entry.submit_later()
     home.answer(DONE)
-    assert caller.get(timeout=BOUND_SECONDS)[0] == 200
+    assert caller.get(timeout=TIMEOUT_SECONDS)[0] == 200
 
 
 def test_the_admin_port_shows_members_and_partitions(entry, home):
--- a/tests/shell/test_operator_http.py
+++ b/tests/shell/test_operator_http.py
@@ -7,7 +7,7 @@
 
 from gypsumspoke.core.rows import member_key, member_value
 from tests.standins.entry_process import MANIFEST, Entry, Home, request, write
-from tests.standins.processes import BOUND_SECONDS
+from tests.standins.processes import TIMEOUT_SECONDS
 
 CHANGE_ID = "Gypsumspoke-Change-Id"
 
@@ -34,7 +34,7 @@
         return request(self.port, "POST", path, payload)
 
     def wait_status(self, path, condition):
-        with gevent.Timeout(BOUND_SECONDS):
+        with gevent.Timeout(TIMEOUT_SECONDS):
             while not condition(self.get(path)[2]):
                 gevent.sleep(0.02)
 
--- a/tests/shell/test_sidecar.py
+++ b/tests/shell/test_sidecar.py
@@ -3,7 +3,7 @@
 import gevent
 import pytest
 
-from tests.standins.processes import BOUND_SECONDS, Processes, call_json
+from tests.standins.processes import TIMEOUT_SECONDS, Processes, call_json
 
 
 @pytest.fixture
@@ -36,7 +36,7 @@
 
 
 def wait_until(condition):
-    with gevent.Timeout(BOUND_SECONDS):
+    with gevent.Timeout(TIMEOUT_SECONDS):
         while not condition():
             gevent.sleep(0.05)
 
--- a/tests/standins/entry_process.py
+++ b/tests/standins/entry_process.py
@@ -15,7 +15,7 @@
 from gypsumspoke.core.values import Answer, Member, Role
 from gypsumspoke.wire.hello import PROTOCOL_VERSION, Hello
 from gypsumspoke.wire.links import PeerLinks
-from tests.standins.processes import BOUND_SECONDS
+from tests.standins.processes import TIMEOUT_SECONDS
 
 PARTITIONS = 4
 MANIFEST = {
@@ -53,15 +53,15 @@
             admin_port=1,
         )
 
-    def take(self, kind):
+    def receive(self, kind):
         """Return sender and message of the next job message, of the given type."""
-        sender, message = self.jobs.get(timeout=BOUND_SECONDS)
+        sender, message = self.jobs.get(timeout=TIMEOUT_SECONDS)
         assert isinstance(message, kind)
         return sender, message
 
     def answer(self, answer, kind=SubmitJob):
         """Answer the next job message and return it."""
-        sender, message = self.take(kind)
+        sender, message = self.receive(kind)
         key = message.submission.key if kind is SubmitJob else message.key
         self.links.send(sender, JobAnswer(message.request, key, answer))
         return message
@@ -100,11 +100,11 @@
         self.admin_port = ports["admin_port"]
 
     def wait_ready(self):
-        with gevent.Timeout(BOUND_SECONDS):
+        with gevent.Timeout(TIMEOUT_SECONDS):
             while request(self.admin_port, "GET", "/readyz")[0] != 200:
                 gevent.sleep(0.02)
         # The entry is ready once its row is written; it reads the members afterwards.
-        with gevent.Timeout(BOUND_SECONDS):
+        with gevent.Timeout(TIMEOUT_SECONDS):
             while not (members := self._own_members()):
                 gevent.sleep(0.02)
         [member] = members
@@ -137,7 +137,7 @@
 
 def request(port, method, path, body=b"", headers=None):
     """Return status, headers and body; a JSON body is parsed."""
-    client = HTTPClient("127.0.0.1", port, network_timeout=BOUND_SECONDS)
+    client = HTTPClient("127.0.0.1", port, network_timeout=TIMEOUT_SECONDS)
     with closing(client):
         response = client.request(method, path, body=body, headers=headers or {})
         text = response.read()
--- a/tests/standins/platform_worker.py
+++ b/tests/standins/platform_worker.py
@@ -58,7 +58,7 @@
         task_duration: timedelta = timedelta(milliseconds=100),
     ) -> None:
         self.id = worker_id
-        self.born = int(time.time() * 1000)
+        self.incarnation = int(time.time() * 1000)
         self.status: int | None = None
         self.lose_answers = 0
         self.silent = False
@@ -90,7 +90,7 @@
 
     def crash(self) -> None:
         """Lose all runs and start a new incarnation under the same id."""
-        self.born += 1
+        self.incarnation += 1
         self.sequence = 0
         self._started_at = time.monotonic()
         self.worker = self._new_worker()
@@ -110,7 +110,7 @@
             "labels": ["a", "r1"],
             "clock_ms": self._clock() // _MILLISECOND,
             "seq": self.sequence,
-            "born": self.born,
+            "born": self.incarnation,
         }
 
     def _clock(self) -> timedelta:
@@ -175,7 +175,7 @@
         clock = self._clock()
         return 200, {
             "clock_ms": clock // _MILLISECOND,
-            "born": self.born,
+            "born": self.incarnation,
             "running": [
                 [task_name(status.run.task), status.run.number, "", status.percent, 0]
                 for status in self.worker.listed(clock)
--- a/tests/standins/processes.py
+++ b/tests/standins/processes.py
@@ -15,7 +15,7 @@
 import gevent
 from geventhttpclient import HTTPClient
 
-BOUND_SECONDS = 30
+TIMEOUT_SECONDS = 30
 ROOT = Path(__file__).resolve().parents[2]
 
 
@@ -91,7 +91,7 @@
         """Kill the process and reap it."""
         if self.alive:
             self._child.send_signal(signal.SIGKILL)
-        self._child.wait(BOUND_SECONDS)
+        self._child.wait(TIMEOUT_SECONDS)
 
     def terminate(self) -> int:
         """Send SIGTERM and return the exit status."""
@@ -100,13 +100,13 @@
 
     def wait_exit(self) -> int:
         """Wait for the process to end and return the exit status."""
-        with gevent.Timeout(BOUND_SECONDS):
+        with gevent.Timeout(TIMEOUT_SECONDS):
             while self.alive:
                 gevent.sleep(0.02)
         return self._child.returncode
 
     def _wait(self, find, problem: str):
-        with gevent.Timeout(BOUND_SECONDS, False):
+        with gevent.Timeout(TIMEOUT_SECONDS, False):
             is_alive = True
             while is_alive:
                 # Checked before find(), so that output just before the end is found.
@@ -212,7 +212,7 @@
     Returns:
       The status and the JSON body, or its bytes unless ``parse``.
     """
-    client = HTTPClient("127.0.0.1", port, network_timeout=BOUND_SECONDS)
+    client = HTTPClient("127.0.0.1", port, network_timeout=TIMEOUT_SECONDS)
     try:
         payload = json.dumps(body).encode() if body is not None else b""
         response = client.request(method, path, body=payload, headers=headers or {})
--- a/tests/standins/relay.py
+++ b/tests/standins/relay.py
@@ -32,11 +32,11 @@
         """Host and port to connect to instead of the target."""
         return self._listener.getsockname()
 
-    def aim(self, target: tuple[str, int]) -> None:
+    def set_target(self, target: tuple[str, int]) -> None:
         """Forward new connections to this (host, port)."""
         self._target = target
 
-    def silence(self) -> None:
+    def stall_connections(self) -> None:
         """Forward nothing more on open connections; new ones work."""
         self._forwarding.clear()
         self._forwarding = Event()
--- a/tests/wire/test_links.py
+++ b/tests/wire/test_links.py
@@ -159,7 +159,7 @@
     entry.set_peers(home, port=relay.address[1])
     entry.links.send("home", QUERY)
     home.next_event(Received)
-    relay.silence()
+    relay.stall_connections()
     assert entry.next_event(PeerLost) == PeerLost("home")
     assert home.next_event(PeerLost) == PeerLost("entry")
     assert entry.next_event(PeerConnected) == PeerConnected("home")
@@ -183,7 +183,7 @@
     home.links.send("entry", QUERY)
     wait_until(lambda: entry.links.connection_count("home") == 2)
     wait_until(lambda: home.links.connection_count("entry") == 2)
-    relay.silence()
+    relay.stall_connections()
     for end, other in ((entry, "home"), (home, "entry")):
         assert end.next_event(PeerLost) == PeerLost(other)
         assert end.next_event(PeerConnected) == PeerConnected(other)
