--- a/gypsumspoke/platform/registration.py
+++ b/gypsumspoke/platform/registration.py
@@ -8,7 +8,7 @@
 
 from returns.result import Failure, Result, Success
 
-from gypsumspoke.runs.values import Registration, Room, WorkerState
+from gypsumspoke.runs.values import Registration, Room, WorkerReady
 from gypsumspoke.runs.worker_commands import HeartbeatArrived, WorkerLeft
 from gypsumspoke.shell.http_answers import (
     BodyTooLarge,
@@ -104,7 +104,7 @@
         incarnation=int(fields.get("born", 0)),
         sequence=int(fields["seq"]),
         service=fields["service"],
-        state=WorkerState(fields["state"]),
+        state=WorkerReady(fields["state"]),
         capacity=Room(
             int(capacity.get("cpu", 0)),
             int(capacity.get("mem_mb", 0)),
--- a/gypsumspoke/runs/supervisor.py
+++ b/gypsumspoke/runs/supervisor.py
@@ -37,7 +37,7 @@
 from gypsumspoke.runs.supervisor_queue import cancel_waiting_runs, start_waiting_runs
 from gypsumspoke.runs.supervisor_state import SupervisorState
 from gypsumspoke.runs.supervisor_stop import begin_stop, continue_stop
-from gypsumspoke.runs.values import EndReason, WorkerState
+from gypsumspoke.runs.values import EndReason, WorkerReady
 from gypsumspoke.runs.worker_commands import (
     CommandAnswered,
     HeartbeatArrived,
@@ -91,7 +91,7 @@
 @_handle.register
 def _(event: HeartbeatArrived, state: SupervisorState, now: datetime) -> list[Effect]:
     effects = supervisor_incarnation.handle_registration(state, event.registration, now)
-    if state.worker and state.worker.state is WorkerState.DRAINING:
+    if state.worker and state.worker.state is WorkerReady.DRAINING:
         effects += cancel_waiting_runs(state, EndReason.WORKER_DRAINING, now)
     return [*effects, *start_waiting_runs(state, now)]
 
@@ -100,7 +100,7 @@
 def _(event: WorkerLeft, state: SupervisorState, now: datetime) -> list[Effect]:
     if state.worker is None or state.worker.id != event.id:
         return []
-    state.worker = state.worker._replace(state=WorkerState.DRAINING)
+    state.worker = state.worker._replace(state=WorkerReady.DRAINING)
     log = Log(logging.INFO, "worker left", fields=(("worker", event.id),))
     return [log, *cancel_waiting_runs(state, EndReason.WORKER_DRAINING, now)]
 
--- a/gypsumspoke/runs/supervisor_placement.py
+++ b/gypsumspoke/runs/supervisor_placement.py
@@ -18,7 +18,7 @@
     record_end,
     record_highest,
 )
-from gypsumspoke.runs.values import EndReason, RunEnd, RunId, WorkerState, fits
+from gypsumspoke.runs.values import EndReason, RunEnd, RunId, WorkerReady, fits
 
 
 def handle_placement(
@@ -113,7 +113,7 @@
         return EndReason.SIDECAR_STOPPING
     if state.worker is None:
         return EndReason.WORKER_UNKNOWN
-    if state.worker.state is WorkerState.DRAINING:
+    if state.worker.state is WorkerReady.DRAINING:
         return EndReason.WORKER_DRAINING
     if not fits(message.room, state.worker.capacity):
         return EndReason.NO_ROOM_EVER
--- a/gypsumspoke/runs/supervisor_report.py
+++ b/gypsumspoke/runs/supervisor_report.py
@@ -6,7 +6,7 @@
 from gypsumspoke.core.effects import Effect, Send
 from gypsumspoke.runs.messages import WorkerReport
 from gypsumspoke.runs.supervisor_state import LastReport, SupervisorState
-from gypsumspoke.runs.values import NO_ROOM, WorkerState, subtract
+from gypsumspoke.runs.values import NO_ROOM, WorkerReady, subtract
 
 # Shortest interval between reports of changed room to one entry, which limits the
 # entry's processor time: a busy worker's room changes with each start and end.
@@ -28,7 +28,7 @@
     """Return whether runs may be started on the worker now."""
     return (
         state.worker is not None
-        and state.worker.state is WorkerState.READY
+        and state.worker.state is WorkerReady.READY
         and state.draining_since is None
         and state.knows_all_runs
         and state.token > 0
--- a/gypsumspoke/runs/values.py
+++ b/gypsumspoke/runs/values.py
@@ -156,8 +156,11 @@
     capacity_checking_services: frozenset[str] = frozenset()
 
 
-class WorkerState(Enum):
-    """Whether a worker accepts new runs, as it states in its heartbeats."""
+class WorkerReady(Enum):
+    """Whether a worker accepts new runs, as it states in its heartbeats.
+
+    The answer to a heartbeat with an unknown state contains the name of this class.
+    """
 
     READY = "ready"
     DRAINING = "draining"
@@ -181,7 +184,7 @@
     incarnation: int
     sequence: int
     service: str
-    state: WorkerState
+    state: WorkerReady
     capacity: Room
     labels: tuple[str, ...]
     clock: timedelta
--- a/tests/platform/test_decoding.py
+++ b/tests/platform/test_decoding.py
@@ -13,7 +13,7 @@
 from gypsumspoke.platform.registration import parse_registration
 from gypsumspoke.platform.settings import read_settings
 from gypsumspoke.runs.budget import DEFAULT_BUDGET
-from gypsumspoke.runs.values import Room, RunId, TaskId, WorkerState
+from gypsumspoke.runs.values import Room, RunId, TaskId, WorkerReady
 from tests.platform.system import configuration, job_body
 from tests.standins.platform_worker import PlatformWorker
 
@@ -136,7 +136,7 @@
     body = json.dumps(PlatformWorker("w1").heartbeat()).encode()
     registration = parse_registration("w1", body).unwrap()
     assert registration.id == "w1"
-    assert registration.state is WorkerState.READY
+    assert registration.state is WorkerReady.READY
     assert registration.capacity == Room(8000, 64000, 0)
     assert registration.sequence == 1
 
--- a/tests/runs/lone_sidecar.py
+++ b/tests/runs/lone_sidecar.py
@@ -7,7 +7,7 @@
 from gypsumspoke.runs import supervisor
 from gypsumspoke.runs.directory import Directory
 from gypsumspoke.runs.supervisor_state import SupervisorState
-from gypsumspoke.runs.values import Registration, RunId, WorkerState
+from gypsumspoke.runs.values import Registration, RunId, WorkerReady
 from gypsumspoke.runs.worker_commands import (
     EndedRun,
     HeartbeatArrived,
@@ -22,7 +22,7 @@
 def registration(incarnation: int = INCARNATION) -> Registration:
     """Return the first registration of a worker's incarnation."""
     return Registration(
-        "w-1", incarnation, 1, SERVICE, WorkerState.READY, CAPACITY, (), timedelta()
+        "w-1", incarnation, 1, SERVICE, WorkerReady.READY, CAPACITY, (), timedelta()
     )
 
 
--- a/tests/runs/test_faults.py
+++ b/tests/runs/test_faults.py
@@ -9,7 +9,7 @@
 from gypsumspoke.runs.budget import DEFAULT_BOUNDS, DEFAULT_BUDGET
 from gypsumspoke.runs.coordinator import is_ready
 from gypsumspoke.runs.messages import PlaceRun
-from gypsumspoke.runs.values import JobEnd, RefusalReason, WorkerState
+from gypsumspoke.runs.values import JobEnd, RefusalReason, WorkerReady
 from tests.runs.test_job_lifecycle import settled
 from tests.runs.world import World, job, ms
 
@@ -44,7 +44,7 @@
     world.run(ms(100))
     getattr(world, lose)("entry0")
     world.drained_at["side0"] = world.now
-    world.send_heartbeat("side0", WorkerState.DRAINING)
+    world.send_heartbeat("side0", WorkerReady.DRAINING)
     resubmit(world, count=1)
     assert world.end_of("r2") is JobEnd.COMPLETED
     assert not world.violations
--- a/tests/runs/test_job_lifecycle.py
+++ b/tests/runs/test_job_lifecycle.py
@@ -2,7 +2,7 @@
 
 from gypsumspoke.runs.admission import WORKER_DISCOVERY_TIMEOUT
 from gypsumspoke.runs.coordinator import is_ready
-from gypsumspoke.runs.values import JobEnd, WorkerState
+from gypsumspoke.runs.values import JobEnd, WorkerReady
 from tests.runs.world import World, job, ms
 
 
@@ -112,7 +112,7 @@
     world.submit("entry0", "r1", job("j1", count=4))
     world.run(ms(50))
     world.drained_at["side0"] = world.now
-    world.send_heartbeat("side0", WorkerState.DRAINING)
+    world.send_heartbeat("side0", WorkerReady.DRAINING)
     world.run(ms(10))
     before = list(world.workers["side0"].starts)
     world.submit("entry0", "r2", job("j2", count=1))
--- a/tests/runs/test_lost_stops.py
+++ b/tests/runs/test_lost_stops.py
@@ -15,7 +15,7 @@
     RunEnd,
     RunId,
     TaskId,
-    WorkerState,
+    WorkerReady,
 )
 from gypsumspoke.runs.worker_commands import EndedRun, StartCommand
 from tests.runs.lone_sidecar import LoneSidecar
@@ -51,7 +51,7 @@
 def resubmit_elsewhere(world: World) -> None:
     """Send the job again through the other entry, to the other worker."""
     world.drained_at["side0"] = world.now
-    world.send_heartbeat("side0", WorkerState.DRAINING)
+    world.send_heartbeat("side0", WorkerReady.DRAINING)
     world.submit("entry1", "r2", job("j1", count=1), ms(20_000))
     world.run(ms(5000))
 
--- a/tests/runs/world.py
+++ b/tests/runs/world.py
@@ -50,7 +50,7 @@
     Route,
     RunId,
     Step,
-    WorkerState,
+    WorkerReady,
 )
 from gypsumspoke.runs.worker_commands import (
     CommandAnswered,
@@ -445,7 +445,7 @@
         """Return the worker's own clock."""
         return (self.now - self.worker_started_at[host]) * self.clock_rate[host]
 
-    def send_heartbeat(self, host: str, state: WorkerState = WorkerState.READY) -> None:
+    def send_heartbeat(self, host: str, state: WorkerReady = WorkerReady.READY) -> None:
         """Send a worker's heartbeat to its sidecar."""
         registration = Registration(
             id=f"w-{host}",
