--- a/tests/runs/test_safeguards.py
+++ b/tests/runs/test_safeguards.py
@@ -179,7 +179,7 @@
                 lambda self, route, left, now: ms(0),
             ),
         ],
-        test_caller_timeouts.test_a_new_job_goes_before_those_that_come_back,
+        test_caller_timeouts.test_a_new_job_is_placed_before_resubmitted_jobs,
         id="resubmissions are distinguished from new jobs",
     ),
     pytest.param(
