--- a/tests/platform/test_processes.py
+++ b/tests/platform/test_processes.py
@@ -107,7 +107,7 @@
     open connections, and exit with status 0.
     """
     for worker in system.workers:
-        worker._takes = worker._takes * 5
+        worker.task_duration = worker.task_duration * 5
     waiting = gevent.spawn(system.submit, 0, job_id(1))
     gevent.sleep(0.1)
     system.entries[0].send_signal(signal.SIGTERM)
@@ -120,7 +120,7 @@
 def test_a_second_sigterm_does_not_interrupt_the_stop(system):
     """A second SIGTERM must not end the process before a waiting caller is answered."""
     for worker in system.workers:
-        worker._takes = worker._takes * 10
+        worker.task_duration = worker.task_duration * 10
     waiting = gevent.spawn(system.submit, 0, job_id(1))
     gevent.sleep(0.1)
     for _ in range(2):
@@ -135,7 +135,7 @@
     would kill the process.
     """
     for worker in system.workers:
-        worker._takes = worker._takes * 100
+        worker.task_duration = worker.task_duration * 100
     waiting = gevent.spawn(
         system.call,
         0,
@@ -154,7 +154,7 @@
 
 def test_a_job_completes_after_a_sidecar_is_killed_and_restarted(system):
     for worker in system.workers:
-        worker._takes = worker._takes * 8
+        worker.task_duration = worker.task_duration * 8
     waiting = gevent.spawn(system.submit, 0, job_id(1), count=4)
     gevent.sleep(0.2)
     system.sidecars[0].kill()
@@ -165,7 +165,7 @@
 
 def test_a_stopping_sidecar_completes_its_runs(system):
     for worker in system.workers:
-        worker._takes = worker._takes * 5
+        worker.task_duration = worker.task_duration * 5
     waiting = gevent.spawn(system.submit, 0, job_id(1), count=4)
     gevent.sleep(0.1)
     system.sidecars[0].send_signal(signal.SIGTERM)
