--- a/tests/failures/conftest.py
+++ b/tests/failures/conftest.py
@@ -1,4 +1,4 @@
-"""One system of processes for each test, ended with it."""
+"""Fixtures that start a system of processes for a test and stop it afterwards."""
 
 import pytest
 
@@ -7,11 +7,11 @@
 
 @pytest.fixture
 def start_system(tmp_path):
-    """Return a function that brings a system up; see ``manifest`` for its words."""
+    """Return a function that starts a system; its options go to ``manifest``."""
     started = []
 
-    def start(relayed=False, **words):
-        started.append(System(tmp_path, manifest(**words), relayed))
+    def start(relayed=False, **options):
+        started.append(System(tmp_path, manifest(**options), relayed))
         return started[0]
 
     yield start
--- a/tests/failures/system.py
+++ b/tests/failures/system.py
@@ -21,7 +21,7 @@
 from tests.standins.relay import Relay
 
 HOST = "127.0.0.1"
-BOUND_SECONDS = 60
+TIMEOUT_SECONDS = 60
 PARTITIONS = 16
 SERVICE = "estimate"
 TEAM = "tax"
@@ -30,8 +30,8 @@
 PAUSE_SECONDS = 0.1
 
 
-class Said(NamedTuple):
-    """One answer to a caller; ``status`` is 0 when none came."""
+class CallerAnswer(NamedTuple):
+    """An answer to a caller; ``status`` is 0 if none arrived."""
 
     status: int
     body: dict[str, Any]
@@ -43,13 +43,13 @@
 
     @property
     def work(self) -> str:
-        """What is claimed about the work."""
+        """What the answer says about whether the work ran."""
         return self.body.get("work", "")
 
 
 def manifest(teams=None, services=None, **policy) -> str:
-    """Return a manifest with short bounds; ``policy`` goes over them."""
-    bounds = {"takeover_after_seconds": 2, "unreachable_after_seconds": 3}
+    """Return a manifest with short timeouts, which ``policy`` may replace."""
+    timeouts = {"takeover_after_seconds": 2, "unreachable_after_seconds": 3}
     service = {"name": SERVICE, "queue_limit_tasks": 64, **(services or {})}
     rate = {"tasks_per_second": 10_000, "burst_tasks": 10_000}
     others = [{"name": name, **quota} for name, quota in (teams or {}).items()]
@@ -57,13 +57,13 @@
         {
             "services": [service],
             "teams": [{"name": TEAM, **rate}, *others],
-            "policy": {**bounds, **policy},
+            "policy": {**timeouts, **policy},
         }
     )
 
 
 def job(key: str | None = None, tasks: int = 1, sleep: float = 0.0, **more) -> dict:
-    """Return a job whose tasks sleep and echo their number."""
+    """Return a job whose tasks sleep and then echo their number."""
     bodies = [{"body": {"sleep_seconds": sleep, "echo": n}} for n in range(tasks)]
     return {
         "key": key or new_key(SystemClock()),
@@ -75,28 +75,28 @@
     }
 
 
-def wait_until(condition, what: str):
+def wait_until(condition, description: str):
     """Return the first true value of ``condition``.
 
     Raises:
-      AssertionError: the bound passed first.
+      AssertionError: the wait timed out.
     """
-    with gevent.Timeout(BOUND_SECONDS, False):
+    with gevent.Timeout(TIMEOUT_SECONDS, False):
         while True:
             found = condition()
             if found:
                 return found
             gevent.sleep(0.05)
-    raise AssertionError(f"waited in vain for {what}")
+    raise AssertionError(f"timed out waiting for {description}")
 
 
 class System:
-    """The processes of one test and what their callers see.
+    """Runs the processes of a test and checks the answers to its callers.
 
     Args:
-      folder: for settings and logs.
+      folder: directory for settings files and logs.
       text: the manifest.
-      relayed: put a relay in front of the peer port of each process.
+      relayed: whether to put a relay in front of the peer port of each process.
     """
 
     def __init__(self, folder: Path, text: str, relayed: bool = False) -> None:
@@ -125,7 +125,7 @@
     # Processes
 
     def start(self, name: str, wait: bool = True) -> None:
-        """Start a role; under a name used before it is the replacement."""
+        """Start a process, or the replacement of one that ended."""
         port = self._add_relay(name) if self._relayed else None
         self.roles[name] = self._processes.start_role(
             "entry" if name in ENTRIES else "sidecar", self._settings(name), wait=wait
@@ -138,7 +138,7 @@
         return self.roles[name].wait_for_line("listening")["details"]
 
     def ready(self, name: str) -> bool:
-        """Return whether a process says that it takes new work."""
+        """Return whether a process reports that it is ready for new work."""
         reply = exchange(self.admin(name), Request("GET", "/readyz"))
         return isinstance(reply, Success) and reply.unwrap().status == 200
 
@@ -169,7 +169,7 @@
     # The table
 
     def rows(self, prefix: str) -> dict[str, Any]:
-        """Return the values of rows by the rest of their key."""
+        """Return the values of rows by their keys without the prefix."""
         self._own_reads += 1
         rows = self.table.post("/v1/read", {"prefix": prefix})["rows"]
         return {
@@ -182,7 +182,7 @@
         return {what: counts[what] - self._settled_counts[what] for what in counts}
 
     def owners(self) -> dict[int, str]:
-        """Return the worker that owns each partition; empty for none that lives."""
+        """Return the worker that owns each partition; empty if it is not live."""
         members = self.rows("members/")
         live = {key: m["worker"] for key, m in members.items() if m["ended"] is None}
         return {
@@ -195,7 +195,7 @@
         return [number for number, owner in self.owners().items() if owner == worker]
 
     def known_owners(self, entry: str) -> dict[int, str]:
-        """Return the same as an entry knows it, without asking the table."""
+        """Return the owners as an entry knows them, without reading the table."""
         status = call_json(self.admin(entry).port, "GET", "/v1/status")[1]
         live = {
             m["incarnation"]: m["worker"]
@@ -214,47 +214,47 @@
                 return key
 
     def owner_of(self, key: str) -> str:
-        """Return the worker that is home of a key."""
+        """Return the worker that is the home of a key."""
         return self.owners()[partition_of(JobKey(TEAM, key), PARTITIONS)]
 
     # -----------------------------------------------------------------------
     # Callers
 
-    def submit(self, entry: str, body: dict) -> Said:
-        """Submit one copy and return what is said to it."""
+    def submit(self, entry: str, body: dict) -> CallerAnswer:
+        """Send one request for a job and return its checked answer."""
         key, attempt = body["key"], body.get("attempt", 0)
         self._attempts[key] = max(self._attempts[key], attempt)
         address = Address(HOST, self.ports(entry)["http_port"])
         request = Request("POST", JOBS_PATH, {}, json.dumps(body).encode())
-        reply = exchange(address, request, BOUND_SECONDS)
+        reply = exchange(address, request, TIMEOUT_SECONDS)
         if not isinstance(reply, Success):
-            return Said(
+            return CallerAnswer(
                 0, {"kind": "no_answer" if reply.failure().sent else "no_entry"}
             )
-        said = Said(reply.unwrap().status, json.loads(reply.unwrap().body))
+        said = CallerAnswer(reply.unwrap().status, json.loads(reply.unwrap().body))
         self._check(said, body)
         return said
 
     def submit_later(self, entry: str, body: dict) -> gevent.Greenlet:
-        """Submit one copy in the background."""
+        """Send one request for a job in the background."""
         return gevent.spawn(self.submit, entry, body)
 
     def until_final(
         self, body: dict, first: str = ENTRIES[0], ready: bool = False
-    ) -> list[Said]:
-        """Resubmit as a careful caller does.
+    ) -> list[CallerAnswer]:
+        """Resubmit a job until its answer is final.
 
         Args:
           body: the job.
-          first: the entry to begin with.
-          ready: go only to an entry that says it is ready, as a balancer would.
+          first: the entry to try first.
+          ready: whether to use only entries that report ready.
 
         Returns:
           All answers; the last is final.
         """
-        said: list[Said] = []
+        said: list[CallerAnswer] = []
         order = sorted(ENTRIES, key=lambda name: name != first)
-        deadline = monotonic() + BOUND_SECONDS
+        deadline = monotonic() + TIMEOUT_SECONDS
         while monotonic() < deadline:
             live = [name for name in order if self.roles[name].alive]
             if ready:
@@ -275,7 +275,7 @@
         return Counter(start["task"] for start in self._starts() if start["key"] == key)
 
     def most_starts(self) -> int:
-        """Return the most starts of any task of any key."""
+        """Return the highest number of starts of any task."""
         counts = Counter((start["key"], start["task"]) for start in self._starts())
         return max(counts.values(), default=0)
 
@@ -293,12 +293,12 @@
     def serve_again(
         self, fault: str, partitions: list[int], since: float
     ) -> dict[str, Any]:
-        """Wait until a first-seen key of each partition is served.
+        """Wait until a new key of each partition is served.
 
-        A key whose final answer is "unknown" is followed by another first-seen key.
+        A key whose final answer is "unknown" is followed by another new key.
 
         Returns:
-          How it went, as noted.
+          The recorded report.
         """
         probes = [gevent.spawn(self._probe, number, since) for number in partitions]
         gevent.joinall(probes, raise_error=True)
@@ -314,12 +314,12 @@
             "kinds": Counter(said.kind for said in answers),
             "table": self.table_use(),
         }
-        note(report)
+        record_report(report)
         return report
 
     def _probe(self, partition: int, since: float) -> tuple[float, list, list]:
         finals, answers = [], []
-        while monotonic() - since < BOUND_SECONDS:
+        while monotonic() - since < TIMEOUT_SECONDS:
             answers += self.until_final(job(self.key_in([partition])))
             finals.append(answers[-1])
             if finals[-1].status == 200:
@@ -343,13 +343,13 @@
             for start in upstream.get("/starts")["starts"]
         ]
 
-    def _check(self, said: Said, body: dict) -> None:
-        """Check one answer: whole, its own, and true when it says "not run"."""
+    def _check(self, said: CallerAnswer, body: dict) -> None:
+        """Check that results are complete and that work "not run" never started."""
         if said.status == 200:
             echoes = [result["echo"] for result in said.body["results"]]
             assert echoes == [task["body"]["echo"] for task in body["tasks"]]
             assert said.body["key"] == body["key"]
-        # Once the caller itself has sent a higher attempt, that one may have started.
+        # A higher attempt that the caller has sent may have started.
         is_highest = body.get("attempt", 0) == self._attempts[body["key"]]
         if said.work == "not_run" and is_highest:
             assert not self.starts(body["key"]), (said, body["key"])
@@ -392,8 +392,8 @@
         }
 
 
-def note(report: dict[str, Any]) -> None:
-    """Print a measured figure, and keep it where GYPSUMSPOKE_AVAILABILITY says."""
+def record_report(report: dict[str, Any]) -> None:
+    """Print a report, and append it to the file that GYPSUMSPOKE_AVAILABILITY names."""
     line = json.dumps(report)
     print(line)
     path = os.environ.get("GYPSUMSPOKE_AVAILABILITY")
--- a/tests/failures/test_home_lost.py
+++ b/tests/failures/test_home_lost.py
@@ -1,4 +1,4 @@
-"""The home of a running job dies or pauses."""
+"""A home is killed or paused while its jobs run."""
 
 import signal
 from time import monotonic
@@ -9,48 +9,38 @@
 
 
 def test_home_killed_while_a_job_runs(system):
-    """The caller resubmits through the other entry and gets one complete answer.
-
-    The home is killed once all tasks have started elsewhere. Another home takes the
-    partition, learns of the starts from the executors, and answers from their results.
-    """
+    """Guards against tasks started twice or results lost when a home is killed."""
     body = job(tasks=4, sleep=1.0)
     home = system.owner_of(body["key"])
     partitions = system.partitions_of(home)
     waiting = system.submit_later("entry-1", body)
     wait_until(lambda: len(system.starts(body["key"])) == 4, "all tasks started")
     system.roles[home].kill()
-    killed = monotonic()
-    again = gevent.spawn(system.until_final, body, "entry-2")
-    report = system.serve_again("home killed", partitions, killed)
+    killed_at = monotonic()
+    resubmitted = gevent.spawn(system.until_final, body, "entry-2")
+    report = system.serve_again("home killed", partitions, killed_at)
     assert report["unknown_keys"] == 0
-    assert again.get()[-1].status == 200
+    assert resubmitted.get()[-1].status == 200
     assert waiting.get().work in ("ran", "unknown")
     assert system.most_starts() == 1
 
 
-def test_home_paused_past_takeover_and_woken(system):
-    """No task starts twice, and nothing that ran is said not to have.
-
-    The home stops while a job's tasks run, and copies of other jobs lie unread in its
-    connections. It wakes when all its partitions have another owner, reads them and
-    still believes that it owns the keys. Executors refuse its lower epoch, so it can
-    neither start nor deny anything.
-    """
+def test_home_paused_past_takeover_and_resumed(system):
+    """Guards against false answers from a home that resumes after its takeover."""
     body = job(tasks=4, sleep=0.5)
     home = system.owner_of(body["key"])
     partitions = system.partitions_of(home)
-    late = [job(system.key_in(partitions), tasks=2) for _ in range(10)]
+    unread_jobs = [job(system.key_in(partitions), tasks=2) for _ in range(10)]
     system.submit_later("entry-1", body)
     wait_until(lambda: len(system.starts(body["key"])) == 4, "all tasks started")
     system.roles[home].send_signal(signal.SIGSTOP)
-    stopped = monotonic()
-    copies = [system.submit_later("entry-1", each) for each in late]
+    paused_at = monotonic()
+    requests = [system.submit_later("entry-1", each) for each in unread_jobs]
     wait_until(lambda: not system.partitions_of(home), "takeover")
     system.roles[home].send_signal(signal.SIGCONT)
-    report = system.serve_again("home paused past takeover", partitions, stopped)
+    report = system.serve_again("home paused past takeover", partitions, paused_at)
     assert report["unknown_keys"] == 0
-    for resubmitted in (body, *late):
-        assert system.until_final(resubmitted, "entry-2")[-1].status == 200
-    gevent.joinall(copies, raise_error=True)
+    for each in (body, *unread_jobs):
+        assert system.until_final(each, "entry-2")[-1].status == 200
+    gevent.joinall(requests, raise_error=True)
     assert system.most_starts() == 1
--- a/tests/failures/test_operator_commands.py
+++ b/tests/failures/test_operator_commands.py
@@ -1,4 +1,4 @@
-"""The commands of operators and callers, as processes against a whole system."""
+"""Operator and caller commands, run as processes against a whole system."""
 
 import json
 import os
@@ -15,8 +15,8 @@
 from gypsumspoke.tools.http_client import Request, exchange
 from gypsumspoke.tools.operator_client import CHANGE_ID_HEADER
 from tests.failures.system import (
-    BOUND_SECONDS,
     TEAM,
+    TIMEOUT_SECONDS,
     WORKERS,
     job,
     manifest,
@@ -29,8 +29,8 @@
     """Runs ``python -m gypsumspoke`` against one system.
 
     Args:
-      folder: for output and files.
-      system: whose first entry is asked.
+      folder: directory for output and files.
+      system: the system whose first entry is used.
     """
 
     def __init__(self, folder, system):
@@ -57,7 +57,7 @@
             process.kill()
 
     def operate(self, *arguments, admin=None):
-        """Run an operator's command; ``admin`` is a port asked in place of the own."""
+        """Run an operator's command, at administration port ``admin`` if given."""
         address = self._admin if admin is None else f"127.0.0.1:{admin}"
         return self.run(*arguments, "--admin", address)
 
@@ -66,8 +66,8 @@
         return self.run(*arguments, "--entry", self._entry)
 
 
-class HeldWrites:
-    """Forwards requests to an administration port, PUT only once it is released."""
+class DelayingProxy:
+    """Forwards requests to an administration port; PUT waits until released."""
 
     def __init__(self, target):
         self._target = target
@@ -90,7 +90,7 @@
         method = environ["REQUEST_METHOD"]
         if method == "PUT":
             self.held.set()
-            self.released.wait(BOUND_SECONDS)
+            self.released.wait(TIMEOUT_SECONDS)
         headers = {
             "If-Match": environ.get("HTTP_IF_MATCH", ""),
             CHANGE_ID_HEADER: environ.get("HTTP_GYPSUMSPOKE_CHANGE_ID", ""),
@@ -108,14 +108,14 @@
 
 
 def done(ended):
-    """Return the output of a command that must have ended well."""
+    """Return the output of a command, which must have succeeded."""
     code, output = ended
     assert code == ExitCode.OK, output
     return output
 
 
 def versions(commands):
-    """Return the manifest versions in force, and how many processes named them."""
+    """Return the manifest versions in force and how many processes reported."""
     status = json.loads(done(commands.operate("manifest", "status")))
     in_force = [process["manifest_version"] for process in status["processes"]]
     return set(in_force), len(in_force)
@@ -142,23 +142,18 @@
     assert f"version {version} is" in repeated
 
 
-def test_of_two_operators_who_race_one_is_told_of_the_conflict(system, commands):
-    """One command says accepted, the other ends with exit code 3.
-
-    The first reads the current version and its write is held on the way. The second
-    reads the same version and its write is accepted. Then the first write arrives and
-    is refused, because it replaces a version that is not the current one any more.
-    """
-    late, soon = (
+def test_one_of_two_racing_operators_gets_conflict(system, commands):
+    """Guards against a delayed manifest write replacing a newer version."""
+    delayed, prompt = (
         commands.file(manifest(retention_seconds=seconds)) for seconds in (400, 500)
     )
-    with HeldWrites(system.admin()) as gate:
-        arguments = ("manifest", "apply", late)
-        racing = gevent.spawn(commands.operate, *arguments, admin=gate.port)
-        assert gate.held.wait(BOUND_SECONDS)
-        done(commands.operate("manifest", "apply", soon))
-        gate.released.set()
-        code, output = racing.get(timeout=BOUND_SECONDS)
+    with DelayingProxy(system.admin()) as proxy:
+        arguments = ("manifest", "apply", delayed)
+        racing = gevent.spawn(commands.operate, *arguments, admin=proxy.port)
+        assert proxy.held.wait(TIMEOUT_SECONDS)
+        done(commands.operate("manifest", "apply", prompt))
+        proxy.released.set()
+        code, output = racing.get(timeout=TIMEOUT_SECONDS)
     assert (code, "is not in force" in output) == (ExitCode.CONFLICT, True), output
     assert '"retention_seconds": 500' in done(commands.operate("manifest", "show"))
 
@@ -182,11 +177,7 @@
 
 
 def test_a_drained_sidecar_exits_and_its_partitions_are_served(system, commands):
-    """A caller of the drained worker's partition gets its answer from another home.
-
-    ``drain`` marks the worker's row; the sidecar reads it, hands its partitions over
-    and ends with exit status 0.
-    """
+    """Guards against partitions left unserved after a sidecar is drained."""
     worker = wait_until(
         lambda: next((w for w in WORKERS if system.partitions_of(w)), ""), "an owner"
     )
@@ -199,13 +190,8 @@
         assert served(system, partition)
 
 
-def test_gone_brings_the_partitions_of_two_dead_sidecars_back(system, commands):
-    """First-seen keys are answered "unknown" until both deaths are stated.
-
-    Two sidecars die with no replacement. Whoever takes their partitions waits for
-    the records of both, since each may have run any key. ``gone`` ends that wait: the
-    records are lost, keys born before the takeover stay unknown, later ones run.
-    """
+def test_gone_restores_partitions_of_two_dead_sidecars(system, commands):
+    """Guards against partitions blocked for ever by records of dead sidecars."""
     members = live_members(commands)
     lost = WORKERS[:2]
     partitions = [part for worker in lost for part in system.partitions_of(worker)]
@@ -213,8 +199,8 @@
     for worker in lost:
         system.roles[worker].kill()
     early = [system.key_in([partition]) for partition in partitions]
-    for waiting in [gevent.spawn(awaits_takeover, system, key) for key in early]:
-        waiting.get(timeout=BOUND_SECONDS)
+    for waiting in [gevent.spawn(wait_for_takeover, system, key) for key in early]:
+        waiting.get(timeout=TIMEOUT_SECONDS)
     for worker in lost:
         arguments = ("gone", worker, "--incarnation", members[worker], "--yes")
         done(commands.operate(*arguments))
@@ -226,8 +212,8 @@
     assert system.most_starts() <= 1
 
 
-def awaits_takeover(system, key):
-    """Wait until copies of a key are answered that its partition is being taken."""
+def wait_for_takeover(system, key):
+    """Wait until a key is answered with an unfinished takeover."""
 
     def is_taken_over():
         said = system.submit("entry-1", job(key, deadline_seconds=3))
@@ -238,12 +224,12 @@
 
 
 def wait_until_served(system, partition):
-    """Wait until a first-seen key of a partition runs."""
+    """Wait until a new key of a partition is served."""
     wait_until(lambda: served(system, partition), "a key that is served")
 
 
 def served(system, partition):
-    """Return whether a first-seen key of a partition runs."""
+    """Return whether a new key of a partition is served."""
     return system.until_final(job(system.key_in([partition])))[-1].status == 200
 
 
@@ -257,10 +243,7 @@
 
 
 def test_each_process_is_one_thread(system, commands):
-    """Nothing of a process blocks in a thread beside the loop, after all kinds of use.
-
-    A library that looks a name up starts one; there are no names to look up here.
-    """
+    """Guards against threads beside the event loop, such as for name resolution."""
     path = commands.file(json.dumps(job(tasks=3)))
     done(commands.call("submit", path))
     done(commands.operate("status"))
--- a/tests/failures/test_refusals.py
+++ b/tests/failures/test_refusals.py
@@ -1,4 +1,4 @@
-"""Resubmissions that must be refused, and input that no peer or caller may send."""
+"""Refused resubmissions, and invalid input from callers and peers."""
 
 import gevent
 import pytest
@@ -9,7 +9,7 @@
 from gypsumspoke.wire.codec import encode
 from gypsumspoke.wire.frames import MAX_FRAME_BYTES, frame
 from gypsumspoke.wire.hello import PROTOCOL_VERSION, Hello
-from tests.failures.system import BOUND_SECONDS, HOST, PARTITIONS, job, wait_until
+from tests.failures.system import HOST, PARTITIONS, TIMEOUT_SECONDS, job, wait_until
 from tests.standins.processes import call_json
 
 QUERY = QueryJob("request-1", 3, JobKey("tax", "key-1"))
@@ -17,6 +17,7 @@
 
 
 def framed(message):
+    """Return the message as it is sent to a peer."""
     return frame(encode(message)).unwrap()
 
 
@@ -25,12 +26,8 @@
     return call_json(port, "POST", "/v1/jobs", body, headers)
 
 
-def test_a_resubmission_after_the_retention(start_system):
-    """It is refused with a claim of "unknown", and its task is not started again.
-
-    Until then each copy gets the kept answer. After it nobody remembers the key, so a
-    start could be the second one; its age alone tells that it may not run.
-    """
+def test_resubmission_after_the_retention_is_refused(start_system):
+    """Guards against a second start of a key whose record was dropped."""
     system = start_system(services={"answer_timeout_seconds": 2}, retention_seconds=4)
     body = job()
     assert system.submit("entry-1", body).status == 200
@@ -45,22 +42,18 @@
     assert sum(system.starts(body["key"]).values()) == 1
 
 
-def test_an_entry_refuses_a_copy_while_another_runs(start_system):
-    """The refusal claims nothing about the other copy, and that one is answered.
-
-    The team's quota is used up at the second entry when a copy of a running job comes.
-    The entry can't know of the run; "not run" would be false.
-    """
+def test_entry_refuses_resubmission_while_job_runs(start_system):
+    """Guards against answering "not run" to a refused resubmission of a running job."""
     quota = {"tasks_per_second": 0.001, "burst_tasks": 8}
     system = start_system(teams={"small": quota})
     body = job(team="small", sleep=3.0)
     waiting = system.submit_later("entry-1", body)
     wait_until(lambda: system.starts(body["key"]), "a start")
 
-    def used_up():
+    def quota_used_up():
         return system.submit("entry-2", job(team="small")).kind == "quota_exceeded"
 
-    wait_until(used_up, "the quota to be used up")
+    wait_until(quota_used_up, "the quota to be used up")
     refused = system.submit("entry-2", body)
     assert (refused.kind, refused.work) == ("quota_exceeded", "not_passed_on")
     assert not waiting.ready()
@@ -69,10 +62,7 @@
 
 
 def test_bad_input_over_http(system):
-    """Each is refused with its own kind; nothing starts, and good jobs go on.
-
-    The checks are made before anything is passed on to a home.
-    """
+    """Guards against invalid requests that reach a home or get the wrong error kind."""
     port = system.ports("entry-1")["http_port"]
     for body, status, kind in (
         (job(tasks=131), 400, "invalid_request"),
@@ -91,15 +81,15 @@
     assert post(system, good)[0] == 200
     reused = {**good, "tasks": [{"body": {"echo": "another"}}]}
     assert post(system, reused)[1]["kind"] == "key_reused"
-    assert malformed(port) == 400
+    assert post_malformed_json(port) == 400
     assert system.most_starts() == 1
     assert sum(system.starts(good["key"]).values()) == 1
     assert system.submit("entry-1", job()).status == 200
 
 
-def malformed(port):
-    """Send a body that is no JSON and return the status."""
-    with gevent.Timeout(BOUND_SECONDS):
+def post_malformed_json(port):
+    """Send a body that is not valid JSON and return the status."""
+    with gevent.Timeout(TIMEOUT_SECONDS):
         with create_connection((HOST, port)) as sock:
             body = b'{"key": "k'
             head = b"POST /v1/jobs HTTP/1.1\r\nHost: x\r\nConnection: close\r\n"
@@ -119,21 +109,17 @@
     ids=["oversized", "cut off", "truncated", "other version", "http"],
 )
 def test_bad_bytes_at_a_peer_port(system, sent):
-    """The sidecar closes that connection and goes on serving its homes.
-
-    Something that is no peer, or one of another release, connects to each sidecar
-    several times and sends what can't be read.
-    """
-    strangers = []
+    """Guards against sidecars that fail on malformed bytes from a peer."""
+    connections = []
     for name in ("worker-1", "worker-2", "worker-3", "worker-4"):
         for _ in range(3):
             sock = create_connection((HOST, system.ports(name)["peer_port"]))
             sock.sendall(sent)
-            strangers.append(sock)
+            connections.append(sock)
     for partition in range(PARTITIONS):
         said = system.submit("entry-1", job(system.key_in([partition])))
         assert said.status == 200
-    for sock in strangers:
+    for sock in connections:
         sock.close()
     assert all(process.alive for process in system.roles.values())
     assert system.most_starts() == 1
--- a/tests/failures/test_stopping.py
+++ b/tests/failures/test_stopping.py
@@ -1,4 +1,4 @@
-"""Graceful stops, restarts one after the other, and a worker that drains."""
+"""Graceful stops, rolling restarts and drained workers."""
 
 from collections import Counter
 from time import monotonic
@@ -10,7 +10,7 @@
     PAUSE_SECONDS,
     WORKERS,
     job,
-    note,
+    record_report,
     wait_until,
 )
 from tests.standins.processes import call_json
@@ -19,18 +19,18 @@
 
 
 class Load:
-    """A small steady load through a balancer that asks the entries' readiness."""
+    """Submits jobs at a fixed interval to entries that report ready."""
 
     def __init__(self, system):
         self._system = system
         self._callers = []
         self._running = True
-        self._source = gevent.spawn(self._run)
+        self._submitter = gevent.spawn(self._run)
 
     def stop(self):
-        """Return all answers of each caller, the final one last."""
+        """Stop submitting and return each caller's answers, the final one last."""
         self._running = False
-        self._source.get()
+        self._submitter.get()
         return [caller.get() for caller in self._callers]
 
     def _run(self):
@@ -44,11 +44,7 @@
 
 
 def test_graceful_stop_of_a_sidecar_and_an_entry_under_load(system):
-    """Each caller gets its complete answer at the first try; both exit with 0.
-
-    SIGTERM comes while tasks run at the sidecar and callers wait at the entry. The
-    sidecar finishes them and hands its partitions over; the entry answers them all.
-    """
+    """Guards against lost answers when processes stop on SIGTERM."""
     jobs = [job(tasks=3, sleep=2.0) for _ in range(6)]
     waiting = [
         system.submit_later(ENTRIES[number % 2], body)
@@ -68,12 +64,7 @@
 
 
 def test_rolling_restart_of_all_sidecars_and_entries_under_load(system):
-    """Every caller gets its complete answer, and no request is cut.
-
-    Each process in turn gets SIGTERM and is replaced under its name once it has ended;
-    the next follows when the replacement is ready. Callers whose copy was not passed on
-    send it again, as the answer says.
-    """
+    """Guards against requests cut off while each process is replaced in turn."""
     load = Load(system)
     for name in WORKERS + ENTRIES:
         assert system.roles[name].terminate() == 0
@@ -82,7 +73,7 @@
     callers = load.stop()
     kinds = Counter(said.kind for answers in callers for said in answers)
     works = Counter(said.work for answers in callers for said in answers)
-    note(
+    record_report(
         {
             "fault": "rolling restart",
             "jobs": len(callers),
@@ -96,12 +87,8 @@
     assert system.most_starts() == 1
 
 
-def test_a_draining_sidecar_gets_nothing_new(system):
-    """Jobs go on elsewhere; what runs at the drained worker ends with its answer.
-
-    An operator drains the worker through an entry while it runs a long task. Once it
-    has read the mark it takes nothing new, and it exits with 0 after the long task.
-    """
+def test_draining_sidecar_gets_no_new_tasks(system):
+    """Guards against new tasks at a draining worker and lost results of running ones."""
     partitions = system.partitions_of("worker-2")
     long = job(system.key_in(partitions), tasks=20, sleep=8.0)
     waiting = system.submit_later("entry-1", long)
@@ -109,11 +96,16 @@
     wait_until(lambda: upstream.get("/running")["running"], "a task at worker-1")
     admin = system.admin().port
     status = call_json(admin, "POST", "/v1/workers/worker-1/drain")[0]
-    asked = monotonic()
+    drain_requested_at = monotonic()
     assert status == 200
     wait_until(lambda: not system.ready("worker-1"), "the drain to be taken up")
     before = len(upstream.get("/starts")["starts"])
-    note({"fault": "drain", "taken_up_seconds": round(monotonic() - asked, 2)})
+    record_report(
+        {
+            "fault": "drain",
+            "taken_up_seconds": round(monotonic() - drain_requested_at, 2),
+        }
+    )
     for number in range(JOBS_AFTER_DRAIN):
         body = job(tasks=4)
         assert system.until_final(body, ENTRIES[number % 2])[-1].status == 200
--- a/tests/failures/test_table.py
+++ b/tests/failures/test_table.py
@@ -1,4 +1,4 @@
-"""The table is down, slow or loses answers; operators race."""
+"""The table is down, slow or loses answers; manifest changes conflict."""
 
 import json
 from time import monotonic
@@ -11,10 +11,11 @@
 from tests.failures.system import ENTRIES, WORKERS, job, manifest, wait_until
 from tests.standins.processes import call_json
 
-ROUNDS_WHILE_DOWN = 100
+JOBS_WHILE_DOWN = 100
 
 
 def put_manifest(system, entry, base, text, change_id):
+    """Replace manifest version ``base`` through an entry and return the reply."""
     headers = {"If-Match": f'"{base}"', "Gypsumspoke-Change-Id": change_id}
     request = Request("PUT", MANIFEST_PATH, headers, text.encode())
     return exchange(system.admin(entry), request).unwrap()
@@ -31,19 +32,16 @@
 
 
 def in_force(system, version):
+    """Return whether all processes use this manifest version."""
     found = versions(system)
     names = {worker for _, worker in found}
     return set(found.values()) == {version} and names == {*ENTRIES, *WORKERS}
 
 
 def test_table_down_for_long_while_jobs_are_served(system):
-    """Callers notice nothing; after the outage a lost home is replaced as usual.
-
-    The table takes no request during many jobs, one after the other. A home dies
-    meanwhile: its keys are answered truthfully until the table is back.
-    """
+    """Guards against failed jobs during a table outage and no takeover after it."""
     system.table.post("/faults", {"down": True})
-    for number in range(ROUNDS_WHILE_DOWN):
+    for number in range(JOBS_WHILE_DOWN):
         said = system.submit(ENTRIES[number % 2], job(tasks=2, sleep=0.05))
         assert said.status == 200
     home = WORKERS[0]
@@ -60,11 +58,7 @@
 
 
 def test_table_slow_while_a_home_is_lost(system):
-    """Jobs are served as fast as ever; the takeover takes a little longer.
-
-    Each request to the table takes a second. Serving jobs needs no request, a
-    takeover needs a few.
-    """
+    """Guards against jobs or takeovers that fail while table requests are slow."""
     system.table.post("/faults", {"delay_seconds": 1.0})
     for number in range(20):
         assert system.submit(ENTRIES[number % 2], job(tasks=2)).status == 200
@@ -76,11 +70,7 @@
 
 
 def test_answers_of_the_table_are_lost_during_a_takeover(system):
-    """Claims that took effect without an answer are found by reading back.
-
-    A home dies and the answers to the next transactions are lost. The claimers must
-    neither take the partitions for another's nor claim them for ever.
-    """
+    """Guards against claims lost or repeated when the table's answers are lost."""
     home = WORKERS[0]
     partitions = system.partitions_of(home)
     system.table.post("/faults", {"lose_answers": 4})
@@ -90,11 +80,7 @@
 
 
 def test_answer_to_a_manifest_change_is_lost(system):
-    """The operator learns the version of the one change that took effect.
-
-    The transaction is written and its answer lost. The entry reads the history of
-    changes, finds the change id, and does not write again.
-    """
+    """Guards against a manifest change written twice after its answer was lost."""
     system.table.post("/faults", {"lose_answers": 1})
     text = manifest(retention_seconds=500)
     applied = apply_manifest(system.admin(), text, "release-7")
@@ -106,12 +92,7 @@
 
 
 def test_two_operators_apply_conflicting_manifests(system):
-    """One is told that the change is in force, the other that there is a conflict.
-
-    Both read the same version and write at once through different entries, again and
-    again. The version in force never falls at any process, and the winner's text is in
-    force at every process.
-    """
+    """Guards against two concurrent changes of one version both being accepted."""
     base, seen = system.version, {}
     for number in range(5):
         texts = [manifest(retention_seconds=100 + 2 * number + n) for n in range(2)]
@@ -121,9 +102,9 @@
         ]
         replies = [greenlet.get() for greenlet in sent]
         assert sorted(reply.status for reply in replies) == [200, 409]
-        [won] = [n for n, reply in enumerate(replies) if reply.status == 200]
-        base = json.loads(replies[won].body)["version"]
-        assert system.rows("manifest")[""] == json.loads(texts[won])
+        [winner] = [n for n, reply in enumerate(replies) if reply.status == 200]
+        base = json.loads(replies[winner].body)["version"]
+        assert system.rows("manifest")[""] == json.loads(texts[winner])
         for process, version in versions(system).items():
             assert version >= seen.get(process, 0)
             seen[process] = version
