--- a/tests/failures/test_stopping.py
+++ b/tests/failures/test_stopping.py
@@ -88,7 +88,7 @@
 
 
 def test_draining_sidecar_gets_no_new_tasks(system):
-    """Guards against new tasks at a draining worker and lost results of running ones."""
+    """Guards against new tasks at a draining worker and lost results of its tasks."""
     partitions = system.partitions_of("worker-2")
     long = job(system.key_in(partitions), tasks=20, sleep=8.0)
     waiting = system.submit_later("entry-1", long)
