--- a/gypsumspoke/core/forwarding.py
+++ b/gypsumspoke/core/forwarding.py
@@ -1,7 +1,7 @@
-"""The way of one copy to the home of its key, and of the answer back.
+"""Forwards requests to the home of their key, and answers back to the callers.
 
-A copy goes again, unchanged, to whoever owns the partition next, until there is an
-answer or patience ends. What is said then claims only whether the copy was ever sent.
+A request is resent unchanged to the next owner of the partition until it is answered or
+times out. The answer after a timeout claims only whether the request was ever sent.
 """
 
 import logging
@@ -18,13 +18,13 @@
 
 RESEND_DELAY = timedelta(milliseconds=200)
 NOT_SERVED_TIMEOUT = timedelta(seconds=2)
-# Silence is noticed, the partition taken over and all executors fenced within this
-# time beyond ``takeover_after``; waiting longer for a home helps nobody.
+# Beyond ``takeover_after``: detecting a silent home, taking the partition over and
+# fencing all executors.
 MAX_TAKEOVER_TIME = timedelta(seconds=4)
-# The home answers at the deadline too, and knows what became of each task.
+# The home answers at the deadline too, with the outcome of each task.
 DEADLINE_GRACE = timedelta(milliseconds=300)
 
-# What a home answers while it does not own the partition, or not yet.
+# Answers of a home that does not serve the partition.
 _NOT_SERVED = {
     ErrorKind.NOT_OWNER: RetryReason.HOME_MOVED,
     ErrorKind.TAKEOVER_IN_PROGRESS: RetryReason.TAKEOVER_IN_PROGRESS,
@@ -32,7 +32,7 @@
 
 
 def _owner(state: EntryState, partition: int) -> str:
-    """Return the owner that can be reached now, or an empty string."""
+    """Return the partition's owner if it is reachable, else an empty string."""
     row = state.partitions.get(partition)
     if row is None or row.owner not in state.reachable:
         return ""
@@ -40,10 +40,10 @@
 
 
 def forward(state: EntryState, waiting: PendingRequest, now: datetime) -> list[Effect]:
-    """Send the copy to the current owner, or hold it until there is one.
+    """Send the request to the current owner, or hold it until there is one.
 
-    A copy is sent only over a connection that is known to be up. So a copy that was
-    never sent certainly reached nobody, and may be answered "not passed on".
+    A request is sent only over a connection that is known to be up, so one that was
+    never sent reached no home and may be answered "not passed on".
     """
     waiting.home = _owner(state, waiting.message.partition)
     if not waiting.home:
@@ -64,14 +64,14 @@
 def handle_home_lost(
     state: EntryState, waiting: PendingRequest, reason: RetryReason, now: datetime
 ) -> list[Effect]:
-    """The home can't answer any more; go on with whoever owns the partition now."""
+    """Forward to the current owner, as the former home can't answer any more."""
     waiting.reason = reason
     waiting.not_served_since = None
     return forward(state, waiting, now)
 
 
 def forward_held(state: EntryState, now: datetime) -> list[Effect]:
-    """Send the copies that wait for a home that can be reached."""
+    """Forward the requests that wait for a reachable home."""
     effects: list[Effect] = []
     for waiting in list(state.waiting.values()):
         if not waiting.home:
@@ -82,7 +82,7 @@
 def handle_answer(
     state: EntryState, waiting: PendingRequest, answer: Answer, now: datetime
 ) -> list[Effect]:
-    """Hand an answer of the home to the caller, or try again if it claims nothing."""
+    """Deliver the home's answer, or resend later if it doesn't serve the partition."""
     if answer.kind in _NOT_SERVED:
         return _handle_not_served(state, waiting, answer, now)
     return _deliver(state, waiting.message.request, answer, now)
@@ -91,7 +91,7 @@
 def _handle_not_served(
     state: EntryState, waiting: PendingRequest, answer: Answer, now: datetime
 ) -> list[Effect]:
-    """Try again soon: the home is not the owner, or not yet."""
+    """Schedule a resend, or fail the request after ``NOT_SERVED_TIMEOUT``."""
     waiting.last_refusal = answer
     waiting.not_served_since = waiting.not_served_since or now
     if now - waiting.not_served_since >= NOT_SERVED_TIMEOUT:
@@ -123,7 +123,7 @@
 def fail_request(
     state: EntryState, request: str, now: datetime, detail: str
 ) -> list[Effect]:
-    """Answer for a home that doesn't; claim no more than whether the copy was sent."""
+    """Answer without a home, claiming only whether the request was ever sent."""
     waiting = state.waiting[request]
     answer = _failure_answer(waiting, detail)
     log = Log(
@@ -147,13 +147,13 @@
 def resend_or_expire(
     state: EntryState, request: str, waiting: PendingRequest, now: datetime
 ) -> list[Effect]:
-    """Send a copy again when that is due; end its wait when patience or time ends."""
+    """Resend a request that is due; fail it after its deadline or without a home."""
     grace = DEADLINE_GRACE if waiting.home else timedelta(0)
     if now >= waiting.deadline + grace:
         return fail_request(state, request, now, "the deadline passed")
     without_home = waiting.without_home_since
-    patience = state.policy.takeover_after + MAX_TAKEOVER_TIME
-    if without_home is not None and now - without_home >= patience:
+    timeout = state.policy.takeover_after + MAX_TAKEOVER_TIME
+    if without_home is not None and now - without_home >= timeout:
         return fail_request(state, request, now, "no home could be reached")
     if waiting.resend_at is not None and now >= waiting.resend_at:
         return forward(state, waiting, now)
--- a/gypsumspoke/platform/jobs.py
+++ b/gypsumspoke/platform/jobs.py
@@ -1,4 +1,4 @@
-"""Jobs as callers send them on the platform."""
+"""Decodes job submissions of the platform's callers."""
 
 import json
 import re
@@ -9,25 +9,24 @@
 
 from gypsumspoke.runs.values import Job, Room, Step
 
-# From the platform's pages.
-MOST_SPEC_BYTES = 4000
-# Many times the widest job that the users send; one with more is a mistake, and would
-# hold the entry up for everybody else while it is placed.
-MOST_TASKS = 1000
-MOST_STEPS = 100
+# Specified by the platform.
+MAX_SPEC_BYTES = 4000
+# A larger job would block the entry's event loop while it is placed.
+MAX_TASKS = 1000
+MAX_STEPS = 100
 
 _ID = re.compile(r"[0-9a-f]{16}")
-# Kinds of work that need the job to be stored, or several tasks to act as one.
-_NOT_SUPPORTED_OF_JOB = ("long_running", "times")
-_NOT_SUPPORTED_OF_STEP = ("gang", "same_rack", "fills", "may_miss")
+# Features that need durable jobs or gang scheduling.
+_UNSUPPORTED_JOB_FIELDS = ("long_running", "times")
+_UNSUPPORTED_STEP_FIELDS = ("gang", "same_rack", "fills", "may_miss")
 
 
 class Unsupported(ValueError):
-    """The job is valid, but of a kind that is not served."""
+    """The job is valid but uses a feature that is not supported."""
 
 
 def is_job_id(text: str) -> bool:
-    """Return whether a text has the form of a job's id."""
+    """Return whether a text is a well-formed job id."""
     return _ID.fullmatch(text) is not None
 
 
@@ -39,7 +38,7 @@
       body: JSON text.
 
     Returns:
-      The job, or what is wrong; ``Unsupported`` for a kind that is not served.
+      The job, or the error; ``Unsupported`` for a feature that is not supported.
     """
     try:
         fields = json.loads(body)
@@ -54,27 +53,27 @@
 
 def _job(job_id: str, fields: Any) -> Job:
     _check(isinstance(fields, dict), "a job is an object")
-    for name in _NOT_SUPPORTED_OF_JOB:
+    for name in _UNSUPPORTED_JOB_FIELDS:
         if fields.get(name):
             raise Unsupported(f"jobs with {name} are not served")
-    # Without this flag the job would have to be stored before it is accepted.
+    # Any other job would have to be stored before it is accepted.
     if not fields.get("best_effort"):
         raise Unsupported("jobs that must be stored are not served")
     spec = fields.get("spec", "")
     _check(isinstance(spec, str), "spec is not a text")
-    _check(len(spec.encode()) <= MOST_SPEC_BYTES, "spec is too long")
+    _check(len(spec.encode()) <= MAX_SPEC_BYTES, "spec is too long")
     steps = fields["steps"]
     _check(isinstance(steps, list) and steps, "steps is not a list with a step")
-    _check(len(steps) <= MOST_STEPS, f"more than {MOST_STEPS} steps")
+    _check(len(steps) <= MAX_STEPS, f"more than {MAX_STEPS} steps")
     decoded = tuple(_step(number, step) for number, step in enumerate(steps))
     tasks = sum(step.count for step in decoded)
-    _check(tasks <= MOST_TASKS, f"{tasks} tasks, more than {MOST_TASKS}")
+    _check(tasks <= MAX_TASKS, f"{tasks} tasks, more than {MAX_TASKS}")
     return Job(job_id, spec, decoded)
 
 
 def _step(number: int, fields: Any) -> Step:
     _check(isinstance(fields, dict), f"step {number} is not an object")
-    for name in _NOT_SUPPORTED_OF_STEP:
+    for name in _UNSUPPORTED_STEP_FIELDS:
         if fields.get(name):
             raise Unsupported(f"steps with {name} are not served")
     count = _integer(fields, "count")
@@ -93,7 +92,8 @@
         ),
         estimate=timedelta(milliseconds=_integer(fields, "estimate_ms")),
         after=tuple(after),
-        # "constraints" is one label, "affinity" a rack, "anti_affinity" a number.
+        # On the wire, "constraints" is one label, "affinity" is a rack, and
+        # "anti_affinity" is the maximum number of tasks on a worker.
         label=_text(fields, "constraints"),
         rack=_text(fields, "affinity"),
         per_worker=_integer(fields, "anti_affinity"),
@@ -113,6 +113,6 @@
     return value
 
 
-def _check(holds: bool, sentence: str) -> None:
-    if not holds:
-        raise ValueError(sentence)
+def _check(is_valid: bool, message: str) -> None:
+    if not is_valid:
+        raise ValueError(message)
--- a/gypsumspoke/platform/registration.py
+++ b/gypsumspoke/platform/registration.py
@@ -1,4 +1,4 @@
-"""Heartbeats of the worker beside a sidecar."""
+"""HTTP interface of a sidecar that receives its worker's heartbeats."""
 
 import json
 import logging
@@ -8,27 +8,27 @@
 
 from returns.result import Failure, Result, Success
 
-from gypsumspoke.runs.values import Registration, Room, WorkerState
+from gypsumspoke.runs.values import Registration, Room, WorkerReady
 from gypsumspoke.runs.worker_commands import HeartbeatArrived, WorkerLeft
 from gypsumspoke.shell.http_answers import (
+    BodyTooLarge,
     Environ,
     HttpAnswer,
     StartResponse,
-    TooLarge,
     json_answer,
     read_body,
     respond,
 )
 
 _PREFIX = "/v1/instances/"
-# From the platform's pages: a heartbeat's most bytes.
-_BODY_BYTES = 4 * 1024 * 1024
+# Specified by the platform.
+_MAX_BODY_BYTES = 4 * 1024 * 1024
 
 _log = logging.getLogger(__name__)
 
 
 class WorkerRegistration:
-    """The WSGI application that the worker calls.
+    """WSGI application that the worker sends heartbeats to.
 
     Args:
       post: queues an event for the reducer.
@@ -52,12 +52,12 @@
             return json_answer({})
         if method != "PUT":
             return json_answer({"error": "no such method"}, 405)
-        return self._take(environ, worker)
+        return self._handle_heartbeat(environ, worker)
 
-    def _take(self, environ: Environ, worker: str) -> HttpAnswer:
+    def _handle_heartbeat(self, environ: Environ, worker: str) -> HttpAnswer:
         try:
-            body = read_body(environ, _BODY_BYTES)
-        except TooLarge:
+            body = read_body(environ, _MAX_BODY_BYTES)
+        except BodyTooLarge:
             return json_answer({"error": "the body is too large"}, 413)
         except (OSError, ValueError):
             return json_answer({"error": "the body ended early"}, 400)
@@ -84,7 +84,7 @@
       body: JSON text.
 
     Returns:
-      What the worker says, or a sentence that says what is wrong.
+      The registration, or an error message.
     """
     try:
         return Success(_registration(worker, json.loads(body)))
@@ -104,7 +104,7 @@
         incarnation=int(fields.get("born", 0)),
         sequence=int(fields["seq"]),
         service=fields["service"],
-        state=WorkerState(fields["state"]),
+        state=WorkerReady(fields["state"]),
         capacity=Room(
             int(capacity.get("cpu", 0)),
             int(capacity.get("mem_mb", 0)),
--- a/gypsumspoke/shell/http_servers.py
+++ b/gypsumspoke/shell/http_servers.py
@@ -1,4 +1,4 @@
-"""HTTP servers of a role that runs best-effort jobs."""
+"""HTTP servers of the roles of best-effort jobs: metrics, readiness, registration."""
 
 import logging
 from contextlib import ExitStack
@@ -11,27 +11,26 @@
     AdminServer,
     Application,
     IdleClosingHandler,
-    ShownMetrics,
+    MetricsRenderer,
     server_environ,
 )
 from gypsumspoke.shell.early_listeners import EarlyListeners
 
-# Readiness checks come once a second, heartbeats each second or two.
-_SMALL_SERVER_CONNECTIONS = 32
+_MAX_CONNECTIONS = 32
 
 
-def open_small_server(
+def open_http_server(
     address: Address,
     application: Application,
     listeners: EarlyListeners,
     stack: ExitStack,
 ) -> None:
-    """Serve an application that a handful of clients call.
+    """Serve an application for few clients, such as readiness checks or heartbeats.
 
     Args:
       address: where to listen.
       application: WSGI application.
-      listeners: ports that listen already.
+      listeners: sockets that listen already.
       stack: closes the server.
 
     Raises:
@@ -40,7 +39,7 @@
     server = WSGIServer(
         listeners.take(address) or address,
         application,
-        spawn=Pool(_SMALL_SERVER_CONNECTIONS),
+        spawn=Pool(_MAX_CONNECTIONS),
         handler_class=IdleClosingHandler,
         log=None,
         error_log=logging.getLogger("gypsumspoke.http"),
@@ -51,14 +50,14 @@
 
 
 def open_metrics(
-    address: Address, metrics: ShownMetrics, is_ready, stack: ExitStack
+    address: Address, metrics: MetricsRenderer, is_ready, stack: ExitStack
 ) -> None:
-    """Serve metrics and health.
+    """Serve metrics and health checks.
 
     Args:
       address: where to listen.
-      metrics: what is shown.
-      is_ready: whether this process takes new work.
+      metrics: metrics to expose.
+      is_ready: whether this process accepts new work.
       stack: closes the server.
     """
     stack.enter_context(AdminServer(address[0], address[1], metrics, is_ready))
--- a/gypsumspoke/shell/link_metrics.py
+++ b/gypsumspoke/shell/link_metrics.py
@@ -7,8 +7,8 @@
 from gypsumspoke.wire.links import PeerLinks
 
 
-class Gauges(Protocol):
-    """Takes gauges that are read when the metrics are."""
+class GaugeRegistry(Protocol):
+    """Registers gauges whose values are read when the metrics are rendered."""
 
     def gauge(self, name: str, description: str, read: Callable[[], float]) -> None:
         """Add a gauge; see ``Metrics.gauge``."""
@@ -28,11 +28,11 @@
 }
 
 
-def show_links(metrics: Gauges, links: PeerLinks) -> None:
-    """Show what the links count.
+def add_link_gauges(metrics: GaugeRegistry, links: PeerLinks) -> None:
+    """Add a gauge for each counter of the links.
 
     Args:
-      metrics: metrics of this process.
+      metrics: receives the gauges.
       links: connections to peers.
     """
     for name, description in LINK_COUNTS.items():
--- a/gypsumspoke/shell/run_role.py
+++ b/gypsumspoke/shell/run_role.py
@@ -1,4 +1,4 @@
-"""What both roles of best-effort jobs open: peers, metrics, the reducer's loop."""
+"""Start-up shared by both roles of best-effort jobs: peers, metrics, event loop."""
 
 import logging
 import os
@@ -13,9 +13,9 @@
 from gypsumspoke.core.effects import Count, Log, Observe
 from gypsumspoke.runs.directory import DialEntries
 from gypsumspoke.runs.settings import RunSettings, parse_address
+from gypsumspoke.shell.deferred_metrics import DeferredMetrics
 from gypsumspoke.shell.early_listeners import EarlyListeners
-from gypsumspoke.shell.late_metrics import LateMetrics
-from gypsumspoke.shell.link_metrics import show_links
+from gypsumspoke.shell.link_metrics import add_link_gauges
 from gypsumspoke.shell.logs import log
 from gypsumspoke.shell.runtime import Reduce, Runtime
 from gypsumspoke.shell.settings_file import SettingsFile
@@ -23,58 +23,60 @@
 from gypsumspoke.wire.hello import PROTOCOL_VERSION, Hello
 from gypsumspoke.wire.links import PeerLinks
 
-# Reports and pulses pass several times a second, so a connection without bytes for this
-# long is dead; a new one is made before the entry's runs would be stopped for good.
-SILENCE_LIMIT = timedelta(milliseconds=750)
-# Best-effort jobs have no homes; a process that has some is refused as a peer.
+# Reports and pulses are sent several times a second, so a connection silent for this
+# long is dead; it is replaced before the entry's runs would be stopped.
+MAX_SILENCE = timedelta(milliseconds=750)
+# Best-effort jobs have no homes. The hello carries this count, so processes with homes
+# are refused as peers.
 _PARTITIONS = 0
-# The reducers end a stop by themselves; this bounds one that does not.
-_BEFORE_KILL = timedelta(milliseconds=300)
+# A stop that the reducer does not end by itself ends this long before the platform
+# kills the process.
+_KILL_MARGIN = timedelta(milliseconds=300)
 
 _log = logging.getLogger(__name__)
 
 
 class StorePort(Protocol):
-    """What a role asks of the store."""
+    """The store, as a role uses it."""
 
     def start(self) -> None:
-        """Begin to post what is in the store."""
+        """Start posting the contents of the store as events."""
 
     def close(self) -> None:
-        """Stop."""
+        """Stop the client."""
 
 
-class RunSide(NamedTuple):
+class RunContext(NamedTuple):
     """Peers and metrics of one process.
 
     Attributes:
-      incarnation: unique name of this start; begins with the instance's name.
+      incarnation: unique id of this start; begins with the instance's name.
       links: connections to peers.
-      dialler: keeps connections to entries.
+      dialler: maintains connections to entries.
       metrics: metrics of this process.
     """
 
     incarnation: str
     links: PeerLinks
     dialler: Dialler
-    metrics: LateMetrics
+    metrics: DeferredMetrics
 
 
-def open_run_side(
+def open_run_context(
     settings: RunSettings,
     role: str,
     clock: Clock,
     listeners: EarlyListeners,
     stack: ExitStack,
-) -> RunSide:
-    """Draw an identity and listen for peers, if the role does.
+) -> RunContext:
+    """Generate an incarnation and listen for peers, if the role accepts them.
 
     Args:
       settings: settings of this process.
-      role: name of the role, shown in metrics.
-      clock: steady clock.
-      listeners: ports that listen already; closed with the stack.
-      stack: closes what is opened.
+      role: name of the role, for metrics.
+      clock: monotonic clock.
+      listeners: sockets that listen already; closed with the stack.
+      stack: closes the resources opened here.
 
     Raises:
       OSError: the port can't be bound.
@@ -83,71 +85,71 @@
     incarnation = f"{settings.instance}-{os.urandom(8).hex()}"
     seed = int.from_bytes(os.urandom(8), "big")
     hello = Hello(PROTOCOL_VERSION, incarnation, settings.instance, _PARTITIONS)
-    links = stack.enter_context(closing(PeerLinks(hello, clock, seed, SILENCE_LIMIT)))
+    links = stack.enter_context(closing(PeerLinks(hello, clock, seed, MAX_SILENCE)))
     if settings.peers is not None:
         links.listen(*settings.peers, listeners.take(settings.peers))
     dialler = stack.enter_context(closing(Dialler(links, clock, seed)))
-    metrics = stack.enter_context(closing(LateMetrics(role, settings.instance)))
-    show_links(metrics, links)
-    return RunSide(incarnation, links, dialler, metrics)
+    metrics = stack.enter_context(closing(DeferredMetrics(role, settings.instance)))
+    add_link_gauges(metrics, links)
+    return RunContext(incarnation, links, dialler, metrics)
 
 
 def open_runtime(
     settings: RunSettings,
-    side: RunSide,
+    context: RunContext,
     reduce: Reduce,
     state: Any,
     clock: Clock,
     in_turns: bool = False,
 ) -> Runtime:
-    """Return the loop around a reducer, with what both roles carry out.
+    """Return the event loop of a reducer with the handlers that both roles share.
 
     Args:
       settings: settings of this process.
-      side: peers and metrics.
+      context: peers and metrics.
       reduce: the role's reducer.
-      state: its state.
-      clock: steady clock.
+      state: the reducer's state.
+      clock: monotonic clock.
       in_turns: see ``Runtime``.
     """
     runtime = Runtime(
         reduce,
         state,
         clock,
-        side.links,
-        drain_timeout=settings.grace - _BEFORE_KILL,
+        context.links,
+        drain_timeout=settings.grace - _KILL_MARGIN,
         ends_on_second_signal=False,
         tick=settings.budget.tick,
         in_turns=in_turns,
     )
-    runtime.handle(Count, side.metrics.count)
-    runtime.handle(Observe, side.metrics.observe)
-    runtime.handle(Log, log)
+    runtime.add_handler(Count, context.metrics.count)
+    runtime.add_handler(Observe, context.metrics.observe)
+    runtime.add_handler(Log, log)
 
     def dial(effect: DialEntries) -> None:
-        side.dialler.set_addresses(map(parse_address, effect.addresses))
+        context.dialler.set_addresses(map(parse_address, effect.addresses))
 
-    runtime.handle(DialEntries, dial)
+    runtime.add_handler(DialEntries, dial)
     return runtime
 
 
 def run_until_stopped(
     runtime: Runtime,
-    side: RunSide,
+    context: RunContext,
     store: StorePort,
     to_dial: tuple[str, ...],
     settings_file: SettingsFile,
     stack: ExitStack,
 ) -> int:
-    """Start all parts and run the loop.
+    """Start all parts and run the event loop.
 
     Args:
-      runtime: the loop.
-      side: peers.
-      store: started, and closed with the stack.
-      to_dial: entries to connect to at first.
-      settings_file: looked at on SIGHUP and every few seconds.
-      stack: closes what is opened.
+      runtime: the event loop.
+      context: peers and metrics.
+      store: started here, closed by the stack.
+      to_dial: initial addresses of entries.
+      settings_file: reread on SIGHUP and checked periodically.
+      stack: closes the resources opened here.
 
     Returns:
       The exit status; see ``Runtime.run``.
@@ -157,9 +159,9 @@
     watching = gevent.spawn(settings_file.watch, runtime.post)
     stack.callback(watching.kill)
     stack.enter_context(closing(store))
-    side.dialler.set_addresses(map(parse_address, to_dial))
-    side.dialler.start()
+    context.dialler.set_addresses(map(parse_address, to_dial))
+    context.dialler.start()
     store.start()
-    details = {"incarnation": side.incarnation}
+    details = {"incarnation": context.incarnation}
     _log.info({"message": "started", "details": details})
     return runtime.run()
--- a/gypsumspoke/shell/sidecar.py
+++ b/gypsumspoke/shell/sidecar.py
@@ -1,4 +1,4 @@
-"""The process beside an upstream: sockets and timers around ``core/sidecar.py``."""
+"""Sidecar process: runs the reducer of ``core/sidecar.py`` beside an upstream."""
 
 from contextlib import ExitStack, closing
 
@@ -11,7 +11,7 @@
 from gypsumspoke.shell.admin_http import AdminServer
 from gypsumspoke.shell.role import (
     log_listening,
-    open_peer_side,
+    open_peer_context,
     own_member,
     with_addresses,
 )
@@ -39,10 +39,10 @@
 
 
 def _open(settings: Settings, clock: Clock, stack: ExitStack) -> Runtime:
-    """Bind the ports and put the parts together; the stack closes them."""
-    identity, links, peer_port, own_metrics = open_peer_side(settings, clock, stack)
-    # The admin port must be bound before the member, and so the state, is known.
-    # Nothing is served until the loop runs, and by then all parts are there.
+    """Bind the ports and connect the parts; the stack closes them."""
+    identity, links, peer_port, own_metrics = open_peer_context(settings, clock, stack)
+    # The member, and so the state, needs the bound admin port. The lambdas resolve
+    # state, runtime and upstream later; nothing is served before the loop runs.
     announcements = UpstreamHttp(
         lambda: state,
         lambda event: runtime.post(event),
@@ -87,7 +87,7 @@
 def _install_upstream(
     settings: Settings, state: sidecar.SidecarState, runtime: Runtime
 ) -> UpstreamClient:
-    """Let tasks run at the upstream, within the bounds of the manifest in force."""
+    """Connect the upstream client and keep its limits in step with the manifest."""
     upstream = UpstreamClient(
         (settings.upstream_host, settings.upstream_port), runtime.post
     )
@@ -98,6 +98,6 @@
             if policy.name == state.member.service:
                 upstream.set_policy(policy)
 
-    runtime.handle(StartUpstream, upstream.start)
-    runtime.handle(ApplyManifest, apply_manifest)
+    runtime.add_handler(StartUpstream, upstream.start)
+    runtime.add_handler(ApplyManifest, apply_manifest)
     return upstream
--- a/tests/shell/test_sidecar.py
+++ b/tests/shell/test_sidecar.py
@@ -1,9 +1,9 @@
-"""The sidecar as a process of its own, with a table and upstreams beside it."""
+"""Sidecar processes with a table and an upstream."""
 
 import gevent
 import pytest
 
-from tests.standins.processes import BOUND_SECONDS, Processes, call_json
+from tests.standins.processes import TIMEOUT_SECONDS, Processes, call_json
 
 
 @pytest.fixture
@@ -36,12 +36,12 @@
 
 
 def wait_until(condition):
-    with gevent.Timeout(BOUND_SECONDS):
+    with gevent.Timeout(TIMEOUT_SECONDS):
         while not condition():
             gevent.sleep(0.05)
 
 
-def test_sidecars_register_share_the_partitions_and_one_leaves(processes):
+def test_sidecars_register_share_partitions_and_deregister(processes):
     table, upstream = processes.start_table(), processes.start_upstream()
     sidecars = [
         processes.start_role("sidecar", settings(table, upstream, f"worker-{number}"))
