--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -58,7 +58,7 @@
             for running in entries + sidecars:
                 wait_until_ready(running)
             good = show_job(entries, upstreams)
-        # Nobody is left to take over what the last sidecar knows; it would wait.
+        # The last sidecar would wait for another one to take its records.
         stop(entries + sidecars[:-1])
     return 0 if good else 1
 
@@ -146,7 +146,7 @@
 
 
 def submit_through(entry: Running, job: str, key: str) -> Reply:
-    """Submit until the answer is final; a refusal is shown and tried again."""
+    """Submit until the answer is final; refusals are printed and retried."""
     while True:
         reply = submit(entry.http, job, key).unwrap()
         print(f"{entry.name}  HTTP {reply.status}: {reply.body.decode()}")
