--- a/gypsumspoke/parser/manifest.py
+++ b/gypsumspoke/parser/manifest.py
@@ -99,7 +99,7 @@
 def _list_errors(fields: Fields) -> list[DocumentError]:
     """Return errors for empty lists and duplicate names.
 
-    An empty list, perhaps from a build that failed midway, would refuse every caller.
+    With an empty list, perhaps from a failed build, every caller would be refused.
     """
     errors = []
     for key in ("services", "teams"):
@@ -122,7 +122,7 @@
         errors.append(DocumentError("policy.retention_seconds", reason))
     for index, service in enumerate(manifest.services):
         path = f"services[{index}].answer_timeout_seconds"
-        # A resubmission could start a task again that outlives its record.
+        # A task could outlive its record, and a resubmission would start it again.
         if service.answer_timeout >= policy.retention:
             reason = "must be less than policy.retention_seconds"
             errors.append(DocumentError(path, reason))
--- a/gypsumspoke/platform/callers.py
+++ b/gypsumspoke/platform/callers.py
@@ -61,7 +61,8 @@
       post: queues an event for the reducer.
       count: counts a refusal that never reaches the reducer.
       clock: source of arrival times.
-      state: the reducer's state, which holds the routing table; only read here.
+      state: the reducer's state, which holds the routing table; changed here only by
+        ``refuse_overloaded``.
     """
 
     def __init__(
@@ -210,7 +211,7 @@
     """Return how long the caller waits.
 
     The route's timeout does not apply: it is for requests that are passed on whole, and
-    shorter than the longest tasks run.
+    some tasks run longer.
     """
     text = environ.get("HTTP_GYPSUMSPOKE_DEADLINE_MS", "")
     if not text.isdecimal():
--- a/gypsumspoke/platform/settings.py
+++ b/gypsumspoke/platform/settings.py
@@ -74,7 +74,7 @@
     listen = fields["listen"]
     is_entry = "front" in fields["serves"]
     return RunSettings(
-        # "node" is the process's machine, not a member of some cluster.
+        # "node" is the name of the instance that runs this process.
         instance=fields["node"],
         failure_domain=fields["zone"],
         host=fields["ip"],
--- a/gypsumspoke/runs/budget.py
+++ b/gypsumspoke/runs/budget.py
@@ -6,10 +6,10 @@
 time after its coordinator was last known to be alive:
 
 * at each tick a sidecar stops the runs of entries not heard for ``entry_silence``;
-* a worker kills all runs when its lease ends. Its sidecar extends it by ``lease`` at
-  a time, but never beyond ``entry_silence`` plus ``lease`` after the entry of any run
-  there was last heard, until the worker has accepted that run's stop. A sidecar that
-  is dead or paused does not extend it.
+* a worker kills all runs when its lease ends. Its sidecar extends the lease by
+  ``lease`` at a time, but never beyond ``entry_silence`` plus ``lease`` after the entry
+  of any run there was last heard, until the worker has accepted that run's stop. A
+  sidecar that is dead or paused does not extend it.
 
 In the worst case the entry is lost at time 0, no stop is answered or the sidecar is
 paused, and the worker's clock is slow: the runs end by ``run_expiry``, a tick before
@@ -33,8 +33,7 @@
 ENTRY_SILENCE_TICKS = 5.0
 LEASE_TICKS = 6.0
 RENEWAL_TICKS = 0.6
-# Two ticks, the round trip and some load; an older placement was delayed, or its sender
-# was paused.
+# An older placement was delayed on its way, or its sender was paused.
 MAX_PLACEMENT_AGE_TICKS = 3.5
 # A worker that leaves renewals unanswered for so long gets no new runs.
 WORKER_SILENCE_TICKS = 4.0
@@ -44,8 +43,8 @@
 
 # Upper bound, which saves processor time where the platform allows longer ticks.
 MAX_TICK = timedelta(milliseconds=100)
-# The platform may keep a process from running for the rest of a tenth of a second. With
-# a shorter tick each such pause would count as the loss of an entry.
+# The platform may suspend a process for the rest of a period of 100 ms. With a shorter
+# tick each such pause would count as the loss of an entry.
 MIN_TICK = timedelta(milliseconds=25)
 
 
@@ -131,7 +130,7 @@
 
     @property
     def pulse_interval(self) -> timedelta:
-        """Shortest interval between an entry's pulses to one sidecar."""
+        """Time after an entry's last message to a sidecar until a pulse is due."""
         return self.tick * PULSE_TICKS
 
     @property
--- a/gypsumspoke/runs/caller_timeouts.py
+++ b/gypsumspoke/runs/caller_timeouts.py
@@ -17,8 +17,7 @@
 # Latest requests that an estimate uses, and requests between two estimates.
 MAX_SAMPLES = 200
 SAMPLES_PER_UPDATE = 40
-# The usual minimum is this quantile of the samples: a higher one treats first requests
-# as resubmissions, a lower one depends on single callers.
+# The usual minimum is this quantile of the samples, so that no single caller sets it.
 USUAL_QUANTILE = 0.02
 # Stored values are used for this long after a start, when many requests are
 # resubmissions.
--- a/gypsumspoke/runs/coordinator.py
+++ b/gypsumspoke/runs/coordinator.py
@@ -87,7 +87,7 @@
 
 
 def handle_event(state: CoordinatorState, event: Any, now: datetime) -> list[Effect]:
-    """Handle one event of a turn that ``TurnEnded`` ends.
+    """Handle one event without ending the turn, which ``TurnEnded`` does later.
 
     Reports and run ends only mark the state; tasks are placed once at the end of the
     turn, since a placing round is far more expensive than an event.
--- a/gypsumspoke/runs/coordinator_sidecars.py
+++ b/gypsumspoke/runs/coordinator_sidecars.py
@@ -94,7 +94,7 @@
 
 
 def _pulse_interval(state: CoordinatorState, view: SidecarView) -> timedelta:
-    """Return the longest time between two messages to a sidecar."""
+    """Return the time after the last message to a sidecar until a pulse is due."""
     interval = state.budget.pulse_interval
     return interval if view.open_runs else max(interval, IDLE_PULSE_INTERVAL)
 
--- a/gypsumspoke/runs/coordinator_state.py
+++ b/gypsumspoke/runs/coordinator_state.py
@@ -172,7 +172,9 @@
 
 
 class CoordinatorState:
-    """State of the coordinator; changed only by ``coordinator.reduce``.
+    """State of the coordinator.
+
+    Changed only by the reducer and, before a job is read, by ``refuse_overloaded``.
 
     Attributes:
       views: sidecars by incarnation.
--- a/gypsumspoke/runs/messages.py
+++ b/gypsumspoke/runs/messages.py
@@ -52,7 +52,7 @@
     """Entry to sidecar: start this run when there is room.
 
     Attributes:
-      heard: see above; a placement with a stale value is refused.
+      heard: as in the module's description; a stale placement is refused.
       run: the run.
       room: the room that it takes.
       priority: 0 is the highest.
@@ -93,7 +93,7 @@
       end: its outcome.
       reason: the reason for the outcome.
       took: time from its start to its end; None if it never started.
-      highest: highest run number of this task that the worker has seen.
+      highest: highest run number of this task that the sidecar has accepted.
     """
 
     run: RunId
--- a/gypsumspoke/runs/run_ends.py
+++ b/gypsumspoke/runs/run_ends.py
@@ -14,7 +14,7 @@
 from gypsumspoke.runs.messages import RunEnded
 from gypsumspoke.runs.values import EndReason, JobEnd, RefusalReason, RunEnd
 
-# Reasons that don't speak against running the task on the same worker again.
+# Reasons after which the task may run on the same worker again.
 _RETRY_ON_SAME_WORKER = frozenset(
     {
         EndReason.NUMBER_TOO_LOW,
--- a/gypsumspoke/runs/sidecar_views.py
+++ b/gypsumspoke/runs/sidecar_views.py
@@ -2,7 +2,7 @@
 
 A report states how many of this entry's placements it includes. The entry subtracts
 the placements sent since, so that it never uses the same room twice. If several entries
-do, the sidecar sends back the placements that arrived last.
+use the same room, the sidecar refuses the placements that arrive last.
 """
 
 from collections import deque
--- a/gypsumspoke/runs/supervisor_commands.py
+++ b/gypsumspoke/runs/supervisor_commands.py
@@ -139,7 +139,7 @@
     if reason is EndReason.WORKER_UNHEALTHY:
         update_failure_share(state, 1.0)
     if reason is EndReason.WORKER_GONE:
-        # Nothing listens there, so nothing starts until a renewal is answered again.
+        # The worker isn't at its address: start nothing until it answers a renewal.
         state.worker_answered_at = None
     return finish(state, local, RunEnd.NOT_RUN, reason, now)
 
--- a/gypsumspoke/runs/supervisor_incarnation.py
+++ b/gypsumspoke/runs/supervisor_incarnation.py
@@ -122,8 +122,8 @@
 def raise_token(state: SupervisorState, now: datetime) -> None:
     """Raise the fencing token above those of earlier processes of this sidecar.
 
-    Tokens come from the worker's clock, which only rises within an incarnation, as long
-    as the worker remembers tokens. So delayed commands of an earlier process are
+    Tokens come from the worker's clock. It only rises within an incarnation, and the
+    worker remembers tokens for as long. So delayed commands of an earlier process are
     refused whatever the machines' clocks do.
     """
     if state.lease.clock is not None:
--- a/gypsumspoke/runs/supervisor_lease.py
+++ b/gypsumspoke/runs/supervisor_lease.py
@@ -1,8 +1,8 @@
 """How far the worker's lease may be extended.
 
 All runs of a worker share one lease. A task may be placed elsewhere ``run_expiry``
-after its coordinator was last heard, by an entry that counts on the time budget or for
-a resubmission. So neither a renewal nor a start extends the lease further than the
+after its coordinator was last heard: by that coordinator, or by another entry for a
+resubmission. So neither a renewal nor a start extends the lease further than the
 budget allows for any run at work. A run whose stop the worker has accepted no
 longer counts: it ends within the bound on a stop.
 """
--- a/gypsumspoke/runs/supervisor_state.py
+++ b/gypsumspoke/runs/supervisor_state.py
@@ -148,7 +148,7 @@
       taken: for each entry, the placements that arrived on its current connection.
       peers: connected entries.
       last_reports: the latest report to each connected entry.
-      highest: highest run number started for a task, for the latest tasks.
+      highest: highest run number accepted for a task, for the latest tasks.
       pace: run time over estimate, smoothed; 0 before the first end.
       failing: smoothed share of failed ends.
       next_probe: when a failing worker may be tried again.
--- a/gypsumspoke/runs/worker_commands.py
+++ b/gypsumspoke/runs/worker_commands.py
@@ -107,7 +107,13 @@
 
 
 class EndedRun(NamedTuple):
-    """A listed end; ``number`` counts within the worker's incarnation."""
+    """An ended run in the worker's list.
+
+    Attributes:
+      number: counts the ends within the worker's incarnation.
+      run, end: the run and its outcome.
+      lapsed: whether it ended because the lease expired.
+    """
 
     number: int
     run: RunId
--- a/tests/standins/entry_process.py
+++ b/tests/standins/entry_process.py
@@ -1,4 +1,4 @@
-"""An entry process under test and a fake home for it."""
+"""An entry process under test and a stand-in for its home."""
 
 import json
 from contextlib import closing
@@ -26,7 +26,7 @@
 
 
 class Home:
-    """A fake home with real peer links; it queues the job messages it receives."""
+    """A stand-in home with real peer links that queues the job messages it gets."""
 
     def __init__(self):
         clock = SystemClock()
--- a/tests/standins/platform_store.py
+++ b/tests/standins/platform_store.py
@@ -1,4 +1,4 @@
-"""An in-process fake of the platform's store, with switchable faults.
+"""An in-process stand-in for the platform's store, with switchable faults.
 
 Implements the part of the store's HTTP interface that the product uses.
 """
--- a/tests/standins/platform_worker.py
+++ b/tests/standins/platform_worker.py
@@ -1,4 +1,4 @@
-"""A fake platform worker behind its HTTP interface, run by the real clock.
+"""A stand-in platform worker behind its HTTP interface, run by the real clock.
 
 ``tests/runs/worker.py`` executes the commands; this adds HTTP and heartbeats.
 """
--- a/tests/standins/processes.py
+++ b/tests/standins/processes.py
@@ -145,11 +145,11 @@
         return process
 
     def start_table(self) -> "StandIn":
-        """Start the fake table and wait until it listens."""
+        """Start the stand-in table and wait until it listens."""
         return self._start_stand_in("tests.standins.table")
 
     def start_upstream(self) -> "StandIn":
-        """Start a fake upstream and wait until it listens."""
+        """Start a stand-in upstream and wait until it listens."""
         return self._start_stand_in("tests.standins.upstream")
 
     def start_role(
--- a/tests/standins/server.py
+++ b/tests/standins/server.py
@@ -1,4 +1,4 @@
-"""A JSON server on gevent's WSGI server, shared by the fake services."""
+"""A JSON server on gevent's WSGI server, shared by the stand-in services."""
 
 import errno
 import json
--- a/tests/standins/table.py
+++ b/tests/standins/table.py
@@ -1,4 +1,4 @@
-"""An in-memory fake of the platform's transactional table service.
+"""An in-memory stand-in for the platform's transactional table service.
 
 Versions come from one growing revision, also across deletes, so a version never repeats
 for a key. Faults are set over HTTP. Run: python -m tests.standins.table --port 0
--- a/tests/standins/upstream.py
+++ b/tests/standins/upstream.py
@@ -1,4 +1,4 @@
-"""A fake upstream that sleeps for a task's time and echoes its body.
+"""A stand-in upstream that sleeps for a task's time and echoes its body.
 
 It records all starts with the headers that identify the task. Faults are set over HTTP.
 Run: python -m tests.standins.upstream --port 0
