--- a/gypsumspoke/core/dispatch.py
+++ b/gypsumspoke/core/dispatch.py
@@ -1,9 +1,10 @@
 """Places tasks on executors and tracks them until their outcome.
 
 A task is placed again only after its executor reported "not run". An executor that
-doesn't answer is queried again over a new connection; if it ended or stays silent, the
-outcome is unknown. Tasks queue at the home until an executor is expected to have a free
-slot, so that the choice is made as late as possible.
+doesn't answer is queried again over a new connection; if it stays silent, the outcome
+is unknown, and if it ended, ``inquiries`` finds the outcome out. Tasks queue at the
+home until an executor is expected to have a free slot, so that the choice is made as
+late as possible.
 """
 
 import heapq
--- a/gypsumspoke/core/effects.py
+++ b/gypsumspoke/core/effects.py
@@ -61,8 +61,8 @@
 class Observe(NamedTuple):
     """Record one value in the histogram of this name.
 
-    ``name`` is one of: takeover_seconds, queue_wait_seconds, response_seconds,
-    response_over_ideal, messages_per_task, wasted_messages.
+    ``name`` is a key of ``HISTOGRAMS`` in ``shell/metrics.py``, and ``label`` the value
+    of its label.
     """
 
     name: str
--- a/gypsumspoke/core/fences.py
+++ b/gypsumspoke/core/fences.py
@@ -42,7 +42,7 @@
 )
 
 FENCE_RESEND_DELAY = timedelta(milliseconds=500)
-# After it the first acknowledgements are used; the second ones only add records.
+# After it missing second acknowledgements are not awaited; they only add records.
 SECOND_FENCE_TIMEOUT = timedelta(seconds=1)
 MEMBERS_REQUEST = REQUEST_PREFIX + "members"
 
--- a/gypsumspoke/core/home.py
+++ b/gypsumspoke/core/home.py
@@ -283,7 +283,7 @@
     ]
     effects = takeover.set_members(state.takeover, event.members, now)
     _update_placement(state)
-    # This event may complete a takeover, whose records must be sent on as well.
+    # The event may complete a takeover, whose records must be replicated as well.
     effects += _handle_notices(state, now)
     for incarnation in lost:
         effects += inquiries.handle_executor_ended(state, incarnation, now)
--- a/gypsumspoke/core/home_state.py
+++ b/gypsumspoke/core/home_state.py
@@ -1,7 +1,7 @@
 """The state of one home, shared by the modules of its reducer.
 
 ``home`` routes events, ``intake`` handles requests, ``dispatch`` places tasks,
-``endings`` refuses and ends jobs, ``adoption`` takes partitions over and hands them on,
+``endings`` refuses and ends jobs, ``adoption`` adopts jobs and hands partitions over,
 ``inquiries`` finds out the outcomes of attempts at executors that ended.
 """
 
--- a/gypsumspoke/core/inquiries.py
+++ b/gypsumspoke/core/inquiries.py
@@ -1,13 +1,13 @@
 """Finds out the outcomes of attempts at an executor that has ended.
 
 A message about a start or an outcome may be lost with its executor. But an executor
-sends all its records to another one before it ends, and starts nothing afterwards. So
-the home fences all executors again under its own epoch. If an answer covers the ended
-executor, their records give the outcome of each attempt, and an attempt without a
-record never started. Otherwise the attempts are unknown.
+that leaves sends all its records to another one before it ends, and starts nothing
+afterwards. So the home fences all executors again under its own epoch. If an answer
+covers the ended executor, their records give the outcome of each attempt, and an
+attempt without a record never started. Otherwise the attempts are unknown.
 
-The home sends its own records of the ended executor on only after that; otherwise they
-would come back in the answers, with the outcomes still unknown.
+The home replicates its own records of the ended executor only after that; otherwise
+they would come back in the answers, with the outcomes still unknown.
 """
 
 import logging
@@ -32,7 +32,7 @@
 
 
 def handle_executor_ended(state: HomeState, lost: str, now: datetime) -> list[Effect]:
-    """Start inquiries about an ended executor's attempts, or send its records on."""
+    """Start inquiries about an ended executor's attempts, or replicate its records."""
     effects: list[Effect] = []
     for partition in sorted(_open_partitions(state, lost)):
         effects += _start_inquiry(state, partition, lost, True, now)
@@ -156,7 +156,7 @@
 
 
 def _close_inquiry(state: HomeState, inquiry: Inquiry, now: datetime) -> list[Effect]:
-    """Close an inquiry; after an executor's last one, send its records on."""
+    """Close an inquiry; after an executor's last one, replicate its records."""
     del state.inquiries[inquiry.partition, inquiry.lost]
     others = [one for one in state.inquiries.values() if one.lost == inquiry.lost]
     if not inquiry.transfers_records:
--- a/gypsumspoke/core/intake.py
+++ b/gypsumspoke/core/intake.py
@@ -183,9 +183,10 @@
 
 
 def _is_drain_stuck(state: HomeState, now: datetime) -> bool:
-    """Return whether a draining home still can't hand over, as while the table is down.
+    """Return whether a draining home has not handed over all partitions in time.
 
-    It then takes no new jobs, so that those it has can end.
+    This happens, for example, while the table is down. The home then accepts no new
+    jobs, so that those it has can end.
     """
     since = state.draining_since
     return since is not None and now - since >= DRAIN_ACCEPT_TIMEOUT
--- a/gypsumspoke/core/jobs.py
+++ b/gypsumspoke/core/jobs.py
@@ -104,7 +104,7 @@
 
     @property
     def is_ending(self) -> bool:
-        """Whether it was stopped and waits for confirmations only."""
+        """Whether it was stopped, so that no further task of it starts."""
         return self.ending is not None
 
     @property
--- a/gypsumspoke/core/ledger.py
+++ b/gypsumspoke/core/ledger.py
@@ -7,7 +7,7 @@
 rule, since a new home doesn't know what the former one refused.
 
 An attempt number is ``epoch << 32 | generation << 12 | count``. It stays below
-2**53, which JSON readers keep exact, for the first two million epochs.
+2**53, up to which JSON parsers keep integers exact, for the first 2**21 epochs.
 """
 
 import heapq
--- a/gypsumspoke/core/messages.py
+++ b/gypsumspoke/core/messages.py
@@ -133,14 +133,14 @@
 
 
 class Fence(NamedTuple):
-    """New home to executor: refuse lower epochs and return the partition's records."""
+    """Home to executor: refuse lower epochs and return the partition's records."""
 
     partition: int
     epoch: int
 
 
 class FenceAck(NamedTuple):
-    """Executor to new home: one chunk of the acknowledgement, with its records.
+    """Executor to home: one chunk of the acknowledgement, with its records.
 
     Attributes:
       partition, epoch: as in the fence.
@@ -200,7 +200,7 @@
 class Remember(NamedTuple):
     """One chunk of records of a partition for another executor to keep as its own.
 
-    Sent by a new owner about its own executor, and by an executor that leaves.
+    Sent by a home for its own or a lost executor, and by an executor that leaves.
 
     Attributes:
       partition: the partition.
@@ -232,7 +232,7 @@
 
 
 class Handoff(NamedTuple):
-    """Leaving home to next home: one chunk of the ledger of a partition.
+    """Previous home to next home: one chunk of the ledger of a partition.
 
     Attributes:
       partition, epoch, version: the row that the next home must replace.
@@ -260,7 +260,7 @@
 
 
 class HandoffAck(NamedTuple):
-    """Next home to leaving home: whether it took the partition over.
+    """Next home to previous home: whether it took the partition over.
 
     Attributes:
       partition, epoch: as in the handoff.
--- a/gypsumspoke/core/placement_state.py
+++ b/gypsumspoke/core/placement_state.py
@@ -19,7 +19,7 @@
 
 
 class Rank(Enum):
-    """How candidates are ranked: at random, in turn, by in-flight tasks or by end."""
+    """Ranks candidates at random, in turn, by in-flight tasks or by expected end."""
 
     FIRST = "first"
     TURN = "turn"
@@ -60,7 +60,7 @@
 
 
 class ExecutorView:
-    """What the home knows of one executor; times are seconds of ``seconds_of``.
+    """What the home knows of one executor; times are POSIX timestamps.
 
     Attributes:
       in_flight: tasks that this home placed there.
--- a/gypsumspoke/core/values.py
+++ b/gypsumspoke/core/values.py
@@ -98,7 +98,7 @@
     Attributes:
       key: the submission.
       task: index of the task in the job, from 0.
-      number: number of the home's placement of this task, from 1.
+      number: counts all placements of the home, from 1; unique within an epoch.
       epoch: the partition's epoch under which the home placed it.
     """
 
--- a/gypsumspoke/shell/admin_http.py
+++ b/gypsumspoke/shell/admin_http.py
@@ -127,7 +127,7 @@
 
 
 def server_environ(host: str) -> dict[str, str]:
-    """Return the WSGI environment that spares the server a name lookup.
+    """Return a WSGI environment that sets SERVER_NAME.
 
     Without SERVER_NAME the server looks up its host name, and an unresponsive resolver
     would delay the start.
--- a/gypsumspoke/shell/http_answers.py
+++ b/gypsumspoke/shell/http_answers.py
@@ -30,7 +30,7 @@
 
 
 class BodyTooLarge(Exception):
-    """A request body exceeds its size max_bytes."""
+    """A request body exceeds its maximum size."""
 
 
 def respond(answer: HttpAnswer, start: StartResponse) -> Iterable[bytes]:
--- a/gypsumspoke/shell/loop_lag.py
+++ b/gypsumspoke/shell/loop_lag.py
@@ -11,8 +11,7 @@
 METRIC = "loop_lag_seconds"
 # Labels of the metric: time until an event is read, and from then until it is handled.
 UNREAD, UNHANDLED = "unread", "unhandled"
-# The loop is behind from this lag on. CPU throttling by the platform can delay it by
-# about one tick without a lack of processor time.
+# The loop is behind from this lag on. CPU throttling alone may delay it by one tick.
 MAX_LAG_TICKS = 2.0
 # It has caught up after LINE_INTERVAL with a lag below this share of the maximum.
 CAUGHT_UP_RATIO = 0.5
--- a/gypsumspoke/shell/metrics.py
+++ b/gypsumspoke/shell/metrics.py
@@ -225,7 +225,7 @@
     """Register the handlers of ``Count``, ``Observe`` and ``Log`` effects.
 
     Args:
-      runtime: has ``handle(effect_type, callable)``.
+      runtime: has ``add_handler(effect_type, handler)``.
       metrics: receives counts and observations.
     """
     runtime.add_handler(Count, metrics.count)
--- a/gypsumspoke/shell/sidecar.py
+++ b/gypsumspoke/shell/sidecar.py
@@ -87,7 +87,7 @@
 def _install_upstream(
     settings: Settings, state: sidecar.SidecarState, runtime: Runtime
 ) -> UpstreamClient:
-    """Connect the upstream client and keep its limits in step with the manifest."""
+    """Connect the upstream client and apply its service's policy on each manifest."""
     upstream = UpstreamClient(
         (settings.upstream_host, settings.upstream_port), runtime.post
     )
--- a/gypsumspoke/wire/links.py
+++ b/gypsumspoke/wire/links.py
@@ -3,7 +3,7 @@
 A message is sent over the newest open connection to its peer, whichever side dialled
 it; without one the peer is dialled. Neither order nor delivery is guaranteed, and the
 reducers retry. Two things are guaranteed: a connection that no longer carries data is
-detected and replaced within about two seconds, and a message reaches no incarnation
+closed after its silence timeout and replaced, and a message reaches no incarnation
 other than the one it is addressed to.
 """
 
@@ -195,7 +195,7 @@
 
         Args:
           to: incarnation of the peer.
-          message: any message of ``core/messages.py``.
+          message: any message of ``core/messages.py`` or ``runs/messages.py``.
 
         Returns:
           False when the message is dropped: no address, a full queue, a dial that
--- a/gypsumspoke/wire/redial.py
+++ b/gypsumspoke/wire/redial.py
@@ -15,7 +15,7 @@
 MIN_RETRY_DELAY = timedelta(milliseconds=50)
 MAX_RETRY_DELAY = timedelta(milliseconds=200)
 # A refused connection means that the instance is up and its process is usually about to
-# start, so the delay grows only after this many refusals in a row.
+# start, so the delay grows only after ``MAX_QUICK_REFUSALS`` in a row.
 REFUSED_DELAY = timedelta(milliseconds=100)
 MAX_QUICK_REFUSALS = 20
 
